--- a/bench/policy/PolicyRunOwners.cpp
+++ b/bench/policy/PolicyRunOwners.cpp
@@ -137,7 +137,7 @@
         act(index, upstream.admission.giveUpHopeless(m_loop.now()));
     const auto load = upstream.admission.load(m_loop.now());
     if (upstream.isDead || upstream.isProbing || load.inUse >= load.slots
-        || !upstream.probes.tryStart(load.waiting, m_loop.now()))
+        || !upstream.probes.tryStartProbe(load.waiting, m_loop.now()))
         return;
     upstream.isProbing = true;
     upstream.admission.holdSlot();
@@ -146,7 +146,7 @@
     m_loop.after(held, [this, index, held] {
         auto& probed = *m_upstreams[index];
         probed.isProbing = false;
-        probed.probes.ended(held, m_loop.now());
+        probed.probes.onProbeEnded(held, m_loop.now());
         act(index, probed.admission.releaseSlot(m_loop.now()));
         if (probed.backend.isDraining && !probed.admission.isLeaving())
             act(index, probed.admission.setLeaving(true, m_loop.now()));
--- a/src/Crashes/CallContent.cpp
+++ b/src/Crashes/CallContent.cpp
@@ -7,11 +7,11 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::size_t hexDigitsOfId = 16;
-    constexpr int hexadecimal = 16;
+    constexpr std::size_t contentIdHexDigits = 16;
+    constexpr int hexBase = 16;
 
     /// \returns the fields one after the other, each behind its length: no two contents give the same text.
-    std::string textOf(const CallContent& content)
+    std::string encodeFields(const CallContent& content)
     {
         std::string out;
         for (const auto field :
@@ -27,8 +27,8 @@
 
 ContentId contentIdOf(const CallContent& content)
 {
-    const auto digest = sha256Hex(textOf(content)).substr(0, hexDigitsOfId);
-    return std::stoull(digest, nullptr, hexadecimal) >> 1U;
+    const auto hexDigits = sha256Hex(encodeFields(content)).substr(0, contentIdHexDigits);
+    return std::stoull(hexDigits, nullptr, hexBase) >> 1U;
 }
 
 std::uint64_t quickHashOf(const CallContent& content)
--- a/src/Crashes/CrashLedger.h
+++ b/src/Crashes/CrashTracker.h
@@ -35,17 +35,17 @@
 /// Cost: verdictOf() O(log contents); a change O(reports x suspects); memory at most 256 reports, 256 bytes
 /// and 50 a suspect each: under a flood of contents that are new each time the oldest reports which hold back
 /// nothing go first.
-class CrashLedger {
+class CrashTracker {
 public:
     struct Options {
         /// Servers that a content may crash before it is held back.
-        std::size_t strikes = 3;
+        std::size_t strikesToHold = 3;
         /// The same for one that had ended well at an owner beside whose server it struck.
-        std::size_t strikesIfServed = 5;
-        std::size_t reports = 256;
+        std::size_t strikesToHoldIfSucceeded = 5;
+        std::size_t maxReports = 256;
         /// Strikes are forgotten after it: calls that are in flight at three crashes in a day are rare.
-        Duration memory = 24h;
-        Duration trialIfShared = 5s;
+        Duration reportRetention = 24h;
+        Duration ambiguousTrialDelay = 5s;
     };
 
     enum class Verdict {
@@ -58,102 +58,102 @@
     struct Hold {
         /// Others that are held back ran at so many of its crashes that the rest would not hold it: either
         /// may be the cause.
-        bool isShared = false;
+        bool isAmbiguous = false;
         Instant trialAt {}; ///< from then on one server may try it
-        std::vector<std::uint64_t> reports; ///< which led to it
+        std::vector<std::uint64_t> reportIds; ///< which led to it
     };
 
     /// Suspects that a report names: more than any backend server of the users' sites runs at once (12
     /// slots).
-    static constexpr std::size_t mostSuspects = 64;
+    static constexpr std::size_t maxSuspects = 64;
 
-    CrashLedger() = default;
-    explicit CrashLedger(Options options)
+    CrashTracker() = default;
+    explicit CrashTracker(Options options)
         : m_options(options)
     {
     }
 
     /// \brief A backend server has crashed. \returns whether that was news; then judge() has to follow.
-    bool take(const proto::CrashReport& report, Instant now);
+    bool addReport(const proto::CrashReport& report, Instant now);
 
     /// \brief A content has ended well. \returns whether that cleared a strike; then judge() has to follow.
-    bool acquit(const proto::CrashAcquittal& acquittal);
+    bool applyAcquittal(const proto::CrashAcquittal& acquittal);
 
     /// \brief Holds back what has too many strikes by now, and frees what has none. To be called when all
     /// that came together was taken in: of a part of it, other contents may seem to be the cause.
-    void judge();
+    void updateHolds();
 
     /// \returns an acquittal of all strikes of \a content that are known; nothing if there is none.
     std::optional<proto::CrashAcquittal> acquittalOf(ContentId content) const;
 
     /// \brief Forgets what is too old.
-    void tick(Instant now);
+    void forgetOldReports(Instant now);
 
     /// \returns whether a content that hashes to \a quickHash may have strikes, or may be held back; if not,
     /// its id need not be computed: about 20 ns in place of 2 us for each call.
-    bool mayBeStruck(std::uint64_t quickHash) const { return m_struckHashes.contains(quickHash); }
+    bool mayHaveStrikes(std::uint64_t quickHash) const { return m_strikeHashes.contains(quickHash); }
     bool mayBeHeld(std::uint64_t quickHash) const { return m_heldHashes.contains(quickHash); }
-    bool holdsAny() const { return !m_holds.empty(); }
+    bool hasHolds() const { return !m_holds.empty(); }
 
     Verdict verdictOf(ContentId content, Instant now) const;
 
     /// \returns how long until a content that is held back is tried again; zero if it may be now.
-    Duration untilTrial(ContentId content, Instant now) const;
+    Duration timeUntilTrial(ContentId content, Instant now) const;
 
     const std::map<ContentId, Hold>& holds() const { return m_holds; }
-    std::size_t reports() const { return m_reports.size(); }
+    std::size_t reportCount() const { return m_reports.size(); }
 
     /// \returns the strikes against \a content that count at \a now, those that others explain left out.
-    std::size_t strikesOf(ContentId content) const;
+    std::size_t strikeCount(ContentId content) const;
 
 private:
     struct Strike {
         ContentId content = 0;
-        Duration ran {};
+        Duration runTime {};
         std::uint64_t quickHash = 0;
-        bool wasServed = false;
+        bool hadSucceededBefore = false;
         bool isCleared = false;
     };
     struct Report {
-        std::int64_t atMs = 0;
-        Instant heard {};
+        std::int64_t crashedAtMs = 0;
+        Instant receivedAt {};
         std::vector<Strike> strikes;
     };
     struct Candidate {
         ContentId content = 0;
-        std::size_t count = 0;
-        bool wasServed = false;
-        std::vector<std::uint64_t> reports;
+        std::size_t strikeCount = 0;
+        bool hadSucceededBefore = false;
+        std::vector<std::uint64_t> reportIds;
     };
-    using Key = std::pair<ContentId, std::uint64_t>; ///< and id of a report
+    using StrikeKey = std::pair<ContentId, std::uint64_t>; ///< and id of a report
 
     /// \returns the strike against \a content that counts; null if there is none.
-    static const Strike* strikeOf(const Report& report, ContentId content);
+    static const Strike* findUnclearedStrike(const Report& report, ContentId content);
     /// \returns whether another content that is held back ran at this crash.
-    bool isExplained(const Report& report, ContentId content) const;
+    bool isExplainedByHold(const Report& report, ContentId content) const;
     /// \returns what has strikes and is not held back.
-    std::vector<Candidate> candidates() const;
-    /// \param isAll strikes that others which are held back explain count too.
-    Candidate candidateOf(ContentId content, bool isAll) const;
-    void hold(const Candidate& best, const std::vector<Candidate>& all);
-    void freeCleared();
+    std::vector<Candidate> findCandidates() const;
+    /// \param includesExplained strikes that others which are held back explain count too.
+    Candidate makeCandidate(ContentId content, bool includesExplained) const;
+    void addHolds(const Candidate& likeliest, const std::vector<Candidate>& candidates);
+    void freeClearedContents();
     /// \brief Holds back one content after the other until none has too many strikes.
-    void holdAll();
+    void holdLikelyCauses();
     /// \brief Sets when each content that is held back is tried again. A change of what is held back or
     /// struck moves it, the passage of time does not, so verdictOf() need not look at reports.
-    void setTrials();
+    void scheduleTrials();
     /// \brief Collects the hashes of what has strikes and of what is held back.
-    void collectHashes();
-    void makeRoom();
+    void rebuildHashSets();
+    void evictExcessReports();
     /// \returns moments at which the strikes against \a content were heard, in order.
     std::vector<Instant> strikeTimes(ContentId content) const;
 
     Options m_options;
     std::map<std::uint64_t, Report> m_reports; ///< by id
-    std::deque<std::uint64_t> m_order; ///< ids as they came
-    std::set<Key> m_acquittedAhead; ///< of reports that have not come yet
+    std::deque<std::uint64_t> m_reportOrder; ///< ids as they came
+    std::set<StrikeKey> m_earlyAcquittals; ///< of reports that have not come yet
     std::map<ContentId, Hold> m_holds;
-    std::unordered_set<std::uint64_t> m_struckHashes;
+    std::unordered_set<std::uint64_t> m_strikeHashes;
     std::unordered_set<std::uint64_t> m_heldHashes;
 };
 
--- a/src/Mesh/CrashNews.cpp
+++ b/src/Mesh/CrashNews.cpp
@@ -53,13 +53,13 @@
     keepLast(known, keptAcquittals);
 }
 
-bool take(const proto::NodeRecord& record, CrashLedger& ledger, Instant now)
+bool take(const proto::NodeRecord& record, CrashTracker& ledger, Instant now)
 {
     bool isNews = false;
     for (const auto& it : record.crashes())
-        isNews = ledger.take(it, now) || isNews;
+        isNews = ledger.addReport(it, now) || isNews;
     for (const auto& it : record.acquittals())
-        isNews = ledger.acquit(it) || isNews;
+        isNews = ledger.applyAcquittal(it) || isNews;
     return isNews;
 }
 
@@ -68,8 +68,8 @@
     if (isMoreThan(record.crashes(), keptReports))
         return tooMany("crashes", keptReports);
     for (const auto& it : record.crashes()) {
-        if (isMoreThan(it.suspects(), CrashLedger::mostSuspects))
-            return tooMany("crashes.suspects", CrashLedger::mostSuspects);
+        if (isMoreThan(it.suspects(), CrashTracker::maxSuspects))
+            return tooMany("crashes.suspects", CrashTracker::maxSuspects);
         if (it.at_ms() > latestMs)
             return "crashes.at_ms: must be at most 2^53";
     }
--- a/src/Mesh/CrashNews.h
+++ b/src/Mesh/CrashNews.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Crashes/CrashLedger.h"
+#include "Crashes/CrashTracker.h"
 #include "peer.pb.h"
 
 #include <cstddef>
@@ -28,7 +28,7 @@
 void add(proto::NodeRecord& record, const proto::CrashAcquittal& acquittal);
 
 /// \brief Takes all that \a record says into \a ledger. \returns whether anything was news.
-bool take(const proto::NodeRecord& record, CrashLedger& ledger, Instant now);
+bool take(const proto::NodeRecord& record, CrashTracker& ledger, Instant now);
 
 /// \returns why a record's reports and acquittals can't be what a node has written, with the field; "" if
 /// they can.
--- a/src/Mesh/MeshNode.cpp
+++ b/src/Mesh/MeshNode.cpp
@@ -112,8 +112,8 @@
     });
     m_ingress = std::make_unique<Ingress>(m_context, *m_owner, nullptr, nullptr, send);
     m_ingress->setConfigured(false);
-    m_rates = std::make_unique<RateKeeper>(
-        RateKeeper::Options { m_context.settings.name, m_context.incarnation, rateTerms() },
+    m_rates = std::make_unique<GroupRateLimiter>(
+        GroupRateLimiter::Options { m_context.settings.name, m_context.incarnation, rateTerms() },
         [this](const std::string& node, proto::PeerMessage& message, Instant now) {
             return sendToNode(node, message, now);
         });
@@ -287,7 +287,7 @@
     metrics.gauge("robinrun_upstream_news_age_seconds",
         [this] { return toSeconds(m_ingress->meanNewsAge(monotonicNow())); });
     metrics.gauge("robinrun_requests_held", [this] { return double(m_context.crashes.holds().size()); });
-    metrics.gauge("robinrun_crash_reports", [this] { return double(m_context.crashes.reports()); });
+    metrics.gauge("robinrun_crash_reports", [this] { return double(m_context.crashes.reportCount()); });
     addCallerGauges();
     addBackendGauges();
     metrics.gauge("robinrun_ready", [this] { return isReady() ? 1.0 : 0.0; });
--- a/src/Mesh/MeshNode.h
+++ b/src/Mesh/MeshNode.h
@@ -26,7 +26,7 @@
 #include "Node/Owner.h"
 #include "Node/Timer.h"
 #include "Platform/RecordStore.h"
-#include "Rates/RateKeeper.h"
+#include "Rates/GroupRateLimiter.h"
 #include "Settings/NodeSettings.h"
 #include "Wire/PeerSocket.h"
 
@@ -174,7 +174,7 @@
     /// \returns how many nodes are known that are not gone. Cost: O(nodes).
     std::size_t livingNodes() const;
 
-    RateTerms rateTerms() const;
+    RateTolerance rateTerms() const;
     bool sendToNode(const std::string& node, proto::PeerMessage& message, Instant now);
     /// \brief Brings the rates of the configuration in force into the keeping of rates.
     void setRates();
@@ -204,7 +204,7 @@
     Instant m_started;
     std::unique_ptr<RecordStore> m_store;
     std::unique_ptr<PeerSocket> m_peers;
-    std::unique_ptr<RateKeeper> m_rates;
+    std::unique_ptr<GroupRateLimiter> m_rates;
     std::unique_ptr<LeavingNews> m_news;
     std::unique_ptr<Owner> m_owner;
     std::unique_ptr<Ingress> m_ingress;
--- a/src/Mesh/MeshNodeLife.cpp
+++ b/src/Mesh/MeshNodeLife.cpp
@@ -196,7 +196,7 @@
     const auto now = monotonicNow();
     noteStandstill();
     noteProof(now);
-    m_context.crashes.tick(now);
+    m_context.crashes.forgetOldReports(now);
     heardOfCrashes(now);
     m_owner->tick(now);
     m_rates->tick(now);
--- a/src/Mesh/MeshNodePeers.cpp
+++ b/src/Mesh/MeshNodePeers.cpp
@@ -67,7 +67,7 @@
         tellWatchGroup(contact, now);
     m_nextContact = now + (m_isContactOpening ? connectingAgain : m_context.settings.peers.contactEvery);
     forgetLost(now);
-    m_rates->setReach(reach());
+    m_rates->setReachableFraction(reach());
 }
 
 void MeshNode::tellWatchGroup(const proto::NodeContact& contact, Instant now)
@@ -165,7 +165,7 @@
     case proto::PeerMessage::kCreditAsk:
         return takeCreditAsk(sender, message.credit_ask(), now);
     case proto::PeerMessage::kCreditGrants:
-        return m_rates->takeGrants(sender.node, message.credit_grants(), now);
+        return m_rates->addGrants(sender.node, message.credit_grants(), now);
     default:
         log(LogLevel::Warning, "peer-message-unknown",
             { { "from", sender.node }, { "kind", static_cast<int>(message.body_case()) } });
--- a/src/Mesh/MeshNodeRates.cpp
+++ b/src/Mesh/MeshNodeRates.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-RateTerms MeshNode::rateTerms() const
+RateTolerance MeshNode::rateTerms() const
 {
     const auto& rates = m_context.settings.rates;
     return { rates.window, rates.over, rates.slack };
@@ -24,10 +24,10 @@
     metrics.gauge("robinrun_config_faults",
         [this] { return m_config.hasAny() ? double(m_config.current()->faults.size()) : 0.0; });
     metrics.gauge("robinrun_config_proven", [this] { return m_context.isConfigProven ? 1.0 : 0.0; });
-    metrics.gauge("robinrun_rate_groups_held", [this] { return double(m_rates->groups()); });
-    metrics.gauge("robinrun_rate_accounts", [this] { return double(m_rates->accounts()); });
-    metrics.gauge("robinrun_rate_credits_lent", [this] { return m_rates->lent(); });
-    metrics.gauge("robinrun_rate_asks_total", [this] { return double(m_rates->asks()); });
+    metrics.gauge("robinrun_rate_groups_held", [this] { return double(m_rates->groupCount()); });
+    metrics.gauge("robinrun_rate_accounts", [this] { return double(m_rates->accountCount()); });
+    metrics.gauge("robinrun_rate_credits_lent", [this] { return m_rates->outstandingCredits(); });
+    metrics.gauge("robinrun_rate_asks_total", [this] { return double(m_rates->requestCount()); });
 }
 
 bool MeshNode::sendToNode(const std::string& node, proto::PeerMessage& message, Instant now)
@@ -57,12 +57,12 @@
     for (const auto& it : m_context.directory.groups())
         rates.emplace(it.id, it.rate);
     m_rates->setRates(std::move(rates));
-    m_rates->setTerms(rateTerms());
+    m_rates->setTolerance(rateTerms());
 }
 
 void MeshNode::setLenders()
 {
-    std::vector<CreditHomes::Node> nodes;
+    std::vector<LenderAssignment::Node> nodes;
     for (const auto& [name, record] : m_registry.nodes()) {
         if (!record.gone())
             nodes.push_back({ name, record.capacity() });
@@ -85,7 +85,7 @@
 void MeshNode::takeCreditAsk(const PeerSocket::Sender& sender, const proto::CreditAsk& ask, Instant now)
 {
     proto::PeerMessage message;
-    *message.mutable_credit_grants() = m_rates->takeAsk(sender.life(), ask, now);
+    *message.mutable_credit_grants() = m_rates->lendCredits(sender.life(), ask, now);
     m_peers->answer(sender, message, now);
 }
 
--- a/src/Node/Directory.cpp
+++ b/src/Node/Directory.cpp
@@ -1,7 +1,7 @@
 #include "Node/Directory.h"
 
 #include "Core/Hash.h"
-#include "Crashes/CrashLedger.h"
+#include "Crashes/CrashTracker.h"
 
 #include <algorithm>
 
--- a/src/Node/Ingress.cpp
+++ b/src/Node/Ingress.cpp
@@ -131,7 +131,7 @@
         return finishNotRun(id, call, Reason::DeadlinePassed, now);
     call.wasUnread = age > Duration::zero();
     if (m_rates && call.request.rate.isBounded())
-        return passRate(id, call, m_rates->spend(call.request.group, now), now);
+        return passRate(id, call, m_rates->acquire(call.request.group, now), now);
     letIn(id, call, now);
 }
 
@@ -199,11 +199,11 @@
     if (m_context->standstill.isFirstTurn(now))
         return tryAgainSoon(id, call);
     switch (verdictOf(call, now)) {
-    case CrashLedger::Verdict::Free:
+    case CrashTracker::Verdict::Free:
         break;
-    case CrashLedger::Verdict::Trial:
+    case CrashTracker::Verdict::Trial:
         return sendTrial(id, call, now);
-    case CrashLedger::Verdict::Held:
+    case CrashTracker::Verdict::Held:
         return finishHeld(id, call, now);
     }
     auto& router = *m_routers.at(call.request.service);
--- a/src/Node/Ingress.h
+++ b/src/Node/Ingress.h
@@ -11,7 +11,7 @@
 #include "Node/PeerLinks.h"
 #include "Node/RequestTrail.h"
 #include "Node/Timer.h"
-#include "Rates/RateKeeper.h"
+#include "Rates/GroupRateLimiter.h"
 #include "Routing/CallBytes.h"
 #include "Routing/NestedCalls.h"
 #include "Routing/OwnerClock.h"
@@ -73,7 +73,7 @@
     void setConfigured(bool isConfigured) { m_isConfigured = isConfigured; }
 
     /// \brief Calls of groups with a rate need a credit from \a rates, which must outlive this.
-    void keepRates(RateKeeper& rates);
+    void keepRates(GroupRateLimiter& rates);
 
     /// \brief How many retries one service of this node may save up.
     void setRetryBurst(double burst) { m_retryBurst = burst; }
@@ -143,7 +143,7 @@
         std::unique_ptr<proto::Answer>
             failedAnswer; ///< an error of a backend server, kept while others are tried
         std::optional<Ticket> ticket;
-        std::optional<CreditPurse::Credit> credit; ///< by which its group's rate lets it through
+        std::optional<CreditBorrower::Credit> credit; ///< by which its group's rate lets it through
         RequestTrail trail;
         bool isMinting = false; ///< the attempt asks for a ticket only
         std::optional<ContentId> content; ///< computed where crashes are known
@@ -171,7 +171,7 @@
     void begin(std::unique_ptr<HttpExchange> exchange, CallRequest request, Instant now);
     /// \brief Lets the call through if its group's rate allows it; else it waits a moment for a credit, or is
     /// refused.
-    void passRate(CallId id, Call& call, const CreditPurse::Decision& decision, Instant now);
+    void passRate(CallId id, Call& call, const CreditBorrower::Decision& decision, Instant now);
     void creditsChanged(const std::vector<std::string>& groups, Instant now);
     void refuseOverRate(CallId id, Call& call, Duration comeBack, Instant now);
     /// \brief The call is let in: it goes on to an owner.
@@ -201,7 +201,7 @@
     static bool awaitsLink(Call& call, const std::string& upstream, Instant now);
     void tryAgainSoon(CallId id, Call& call);
     /// \returns whether crashes of servers that ran the same hold \a call back.
-    CrashLedger::Verdict verdictOf(Call& call, Instant now) const;
+    CrashTracker::Verdict verdictOf(Call& call, Instant now) const;
     /// \brief Sends a call that is held back to the one upstream that may try it.
     void sendTrial(CallId id, Call& call, Instant now);
     void finishHeld(CallId id, Call& call, Instant now);
@@ -306,7 +306,7 @@
     std::unordered_map<CallId, Call> m_calls;
     std::unordered_map<std::uint64_t, CallId> m_callByNumber;
     std::unordered_map<std::string, std::unique_ptr<ServiceRouter>> m_routers;
-    RateKeeper* m_rates = nullptr;
+    GroupRateLimiter* m_rates = nullptr;
     std::map<std::string, std::deque<CallId>> m_awaitingCredit; ///< by group
     LastWords m_lastWords;
     /// By upstream: to tell owners deadlines that a late delivery can't outlive.
--- a/src/Node/IngressCrashes.cpp
+++ b/src/Node/IngressCrashes.cpp
@@ -7,12 +7,12 @@
 
 namespace robinrun {
 
-CrashLedger::Verdict Ingress::verdictOf(Call& call, Instant now) const
+CrashTracker::Verdict Ingress::verdictOf(Call& call, Instant now) const
 {
     const auto& ledger = m_context->crashes;
     // A ticket is not a run.
-    if (!ledger.holdsAny() || call.isMinting)
-        return CrashLedger::Verdict::Free;
+    if (!ledger.hasHolds() || call.isMinting)
+        return CrashTracker::Verdict::Free;
     if (!call.content) {
         const auto& request = call.exchange->request();
         CallContent content { call.request.group, request.method, call.request.service, call.request.target,
@@ -20,7 +20,7 @@
         if (call.request.isByRoute)
             content.host = findHeader(request.headers, "Host").value_or("");
         if (!ledger.mayBeHeld(quickHashOf(content)))
-            return CrashLedger::Verdict::Free;
+            return CrashTracker::Verdict::Free;
         call.content = contentIdOf(content);
     }
     return ledger.verdictOf(*call.content, now);
@@ -45,7 +45,7 @@
     // Another attempt that is out may still be answered.
     if (!call.out.empty())
         return;
-    const auto left = m_context->crashes.untilTrial(*call.content, now);
+    const auto left = m_context->crashes.timeUntilTrial(*call.content, now);
     call.retryAfterMs = static_cast<std::uint32_t>(toMilliseconds(left));
     finishNotRun(id, call, Reason::CrashesServers, now);
 }
--- a/src/Node/IngressEnd.cpp
+++ b/src/Node/IngressEnd.cpp
@@ -179,9 +179,9 @@
         giveBack(call, *std::exchange(call.paid, std::nullopt));
     const bool hasNotRun = outcome == CallOutcome::NotRun || outcome == CallOutcome::Rejected;
     if (call.credit && hasNotRun)
-        m_rates->giveBack(call.request.group, *call.credit, now);
+        m_rates->returnCredit(call.request.group, *call.credit, now);
     else if (call.credit)
-        m_rates->ran(call.request.group, *call.credit);
+        m_rates->onCallRan(call.request.group, *call.credit);
     CallSample sample;
     sample.group = call.request.group;
     sample.callClass = call.request.callClass.name;
--- a/src/Node/IngressRates.cpp
+++ b/src/Node/IngressRates.cpp
@@ -13,22 +13,22 @@
 
 } // namespace
 
-void Ingress::keepRates(RateKeeper& rates)
+void Ingress::keepRates(GroupRateLimiter& rates)
 {
     m_rates = &rates;
-    rates.onChanged([this](const auto& groups, Instant now) { creditsChanged(groups, now); });
+    rates.setCreditsChangedHandler([this](const auto& groups, Instant now) { creditsChanged(groups, now); });
 }
 
-void Ingress::passRate(CallId id, Call& call, const CreditPurse::Decision& decision, Instant now)
+void Ingress::passRate(CallId id, Call& call, const CreditBorrower::Decision& decision, Instant now)
 {
     switch (decision.verdict) {
-    case CreditPurse::Verdict::Spent:
+    case CreditBorrower::Verdict::Allowed:
         call.credit = decision.credit;
         call.creditTimer = Timer();
         return letIn(id, call, now);
-    case CreditPurse::Verdict::Refused:
-        return refuseOverRate(id, call, decision.comeBack, now);
-    case CreditPurse::Verdict::Wait:
+    case CreditBorrower::Verdict::Refused:
+        return refuseOverRate(id, call, decision.retryAfter, now);
+    case CreditBorrower::Verdict::Wait:
         break;
     }
     m_awaitingCredit[call.request.group].push_back(id);
@@ -52,7 +52,7 @@
         for (const auto id : waiting) {
             const auto it = m_calls.find(id);
             if (it != m_calls.end() && !it->second.credit)
-                passRate(id, it->second, m_rates->retry(group, now), now);
+                passRate(id, it->second, m_rates->retryAcquire(group, now), now);
         }
     }
 }
--- a/src/Node/IngressRetries.cpp
+++ b/src/Node/IngressRetries.cpp
@@ -198,7 +198,7 @@
 {
     return m_context->settings.experiments.isOn(Mechanism::SecondAttempts) && isRepeatable(call)
         && !call.isMinting && call.attemptsLeft > 1 && now < call.deadline
-        && verdictOf(call, now) == CrashLedger::Verdict::Free;
+        && verdictOf(call, now) == CrashTracker::Verdict::Free;
 }
 
 void Ingress::sendSecond(CallId id, Call& call, const std::string& upstream, Instant now)
--- a/src/Node/NodeContext.h
+++ b/src/Node/NodeContext.h
@@ -8,7 +8,7 @@
 #include "Core/StandstillWatch.h"
 #include "Core/SuspensionWatch.h"
 #include "Core/Time.h"
-#include "Crashes/CrashLedger.h"
+#include "Crashes/CrashTracker.h"
 #include "Node/CallHeaders.h"
 #include "Node/Directory.h"
 #include "Node/Metrics.h"
@@ -39,7 +39,7 @@
     bool isConfigProven = true;
     StandstillWatch standstill {}; ///< given the node's ticks
     SuspensionWatch suspension {};
-    CrashLedger crashes {}; ///< of backend servers anywhere, as far as this node has heard
+    CrashTracker crashes {}; ///< of backend servers anywhere, as far as this node has heard
 
     /// \brief A regular tick: notices standstills, and brings timers forward that stood still with their
     /// host.
--- a/src/Node/Owner.h
+++ b/src/Node/Owner.h
@@ -2,8 +2,8 @@
 
 #include "Chart/Leaving.h"
 #include "Core/BackendLife.h"
-#include "Crashes/CrashWatch.h"
-#include "Crashes/GoodEnds.h"
+#include "Crashes/CrashDetector.h"
+#include "Crashes/RecentSuccesses.h"
 #include "Http/HttpPool.h"
 #include "Node/NodeContext.h"
 #include "Node/Prober.h"
@@ -248,8 +248,8 @@
     std::unique_ptr<HttpPool> m_pool;
     std::string m_backendAddress;
     std::string m_boundUpstream; ///< that the pool's connections are meant for
-    CrashWatch m_crashWatch;
-    GoodEnds m_goodEnds;
+    CrashDetector m_crashWatch;
+    RecentSuccesses m_goodEnds;
     std::set<ContentId> m_loggedHolds;
     TellCrash m_tellCrash;
     TellAcquittal m_tellAcquittal;
--- a/src/Node/OwnerCrashes.cpp
+++ b/src/Node/OwnerCrashes.cpp
@@ -27,7 +27,7 @@
 {
     const auto content = contentOf(record.call);
     const auto hash = quickHashOf(content);
-    return { contentIdOf(content), now - record.started, m_goodEnds.has(hash, now), hash };
+    return { contentIdOf(content), now - record.started, m_goodEnds.contains(hash, now), hash };
 }
 
 std::vector<CrashSuspect> Owner::runningOn(const HttpPool& pool, Instant now) const
@@ -54,7 +54,7 @@
     }
     if (answer.outcome() != proto::ANSWERED)
         return;
-    m_crashWatch.answered(record.started);
+    m_crashWatch.onAnswer(record.started);
     if (answer.status() < static_cast<std::uint32_t>(httpStatus::firstServerError))
         endedWell(record, now);
 }
@@ -62,15 +62,15 @@
 void Owner::runBroke(const CallRecord& record, Instant now)
 {
     // A server that has said it leaves may end with what it still runs.
-    if (m_crashWatch.isAsking(now) || m_leaving.hasSign(LeavingSign::BackendServer))
+    if (m_crashWatch.isBreakUnexplained(now) || m_leaving.hasSign(LeavingSign::BackendServer))
         return;
-    m_crashWatch.broke(runningOn(*record.pool, now), now);
+    m_crashWatch.onRunBroken(runningOn(*record.pool, now), now);
     probe(now);
 }
 
 void Owner::backendRefused(Instant now)
 {
-    if (const auto suspects = m_crashWatch.refused(now))
+    if (const auto suspects = m_crashWatch.onConnectionRefused(now))
         reportCrash(m_boundUpstream, *suspects, now);
 }
 
@@ -78,13 +78,13 @@
 {
     const auto content = contentOf(record.call);
     const auto hash = quickHashOf(content);
-    m_goodEnds.note(hash, now);
-    if (!m_context->crashes.mayBeStruck(hash))
+    m_goodEnds.recordSuccess(hash, now);
+    if (!m_context->crashes.mayHaveStrikes(hash))
         return;
     const auto acquittal = m_context->crashes.acquittalOf(contentIdOf(content));
     if (!acquittal)
         return;
-    m_context->crashes.acquit(*acquittal);
+    m_context->crashes.applyAcquittal(*acquittal);
     crashesChanged(now);
     if (m_tellAcquittal)
         m_tellAcquittal(*acquittal);
@@ -97,19 +97,19 @@
     report.set_upstream(life);
     report.set_at_ms(static_cast<std::uint64_t>(m_context->wallClock()));
     for (const auto& it : suspects) {
-        if (static_cast<std::size_t>(report.suspects_size()) == CrashLedger::mostSuspects)
+        if (static_cast<std::size_t>(report.suspects_size()) == CrashTracker::maxSuspects)
             break;
         auto& suspect = *report.add_suspects();
         suspect.set_content(it.content);
-        suspect.set_ran_ms(static_cast<std::uint32_t>(toMilliseconds(it.ran)));
-        suspect.set_ended_well_before(it.hasEndedWell);
+        suspect.set_ran_ms(static_cast<std::uint32_t>(toMilliseconds(it.runTime)));
+        suspect.set_ended_well_before(it.hadSucceededBefore);
         suspect.set_quick_hash(it.quickHash);
     }
     log(LogLevel::Warning, "backend-crashed",
         { { "upstream", life }, { "report", report.id() },
             { "suspects", textOf(report.suspects(), [](const auto& it) { return it.content(); }) } });
     m_context->metrics.count("robinrun_backend_crashes_total");
-    m_context->crashes.take(report, now);
+    m_context->crashes.addReport(report, now);
     if (m_tellCrash)
         m_tellCrash(report);
     crashesChanged(now);
@@ -118,14 +118,14 @@
 void Owner::crashesChanged(Instant now)
 {
     auto& ledger = m_context->crashes;
-    ledger.judge();
+    ledger.updateHolds();
     for (const auto& [content, hold] : ledger.holds()) {
         if (!m_loggedHolds.insert(content).second)
             continue;
-        const auto reports = textOf(hold.reports, [](std::uint64_t id) { return id; });
+        const auto reports = textOf(hold.reportIds, [](std::uint64_t id) { return id; });
         log(LogLevel::Warning, "request-held",
-            { { "content", content }, { "shared", hold.isShared }, { "reports", reports },
-                { "retry_after_ms", toMilliseconds(ledger.untilTrial(content, now)) } });
+            { { "content", content }, { "shared", hold.isAmbiguous }, { "reports", reports },
+                { "retry_after_ms", toMilliseconds(ledger.timeUntilTrial(content, now)) } });
     }
     for (auto it = m_loggedHolds.begin(); it != m_loggedHolds.end();) {
         const bool isHeld = ledger.holds().contains(*it);
@@ -139,13 +139,13 @@
 std::optional<Duration> Owner::heldBack(const proto::Call& call, Instant now) const
 {
     const auto& ledger = m_context->crashes;
-    if (!ledger.holdsAny() || !ledger.mayBeHeld(quickHashOf(contentOf(call))))
+    if (!ledger.hasHolds() || !ledger.mayBeHeld(quickHashOf(contentOf(call))))
         return std::nullopt;
     const auto content = contentIdOf(contentOf(call));
     const auto verdict = ledger.verdictOf(content, now);
-    const bool isFree = verdict == CrashLedger::Verdict::Free
-        || (verdict == CrashLedger::Verdict::Trial && mayTry(content));
-    return isFree ? std::nullopt : std::optional(ledger.untilTrial(content, now));
+    const bool isFree = verdict == CrashTracker::Verdict::Free
+        || (verdict == CrashTracker::Verdict::Trial && mayTry(content));
+    return isFree ? std::nullopt : std::optional(ledger.timeUntilTrial(content, now));
 }
 
 bool Owner::mayTry(ContentId content) const
@@ -159,15 +159,15 @@
 void Owner::refuseHeld(Instant now)
 {
     const auto& ledger = m_context->crashes;
-    if (!ledger.holdsAny())
+    if (!ledger.hasHolds())
         return;
     std::vector<std::pair<std::uint64_t, Duration>> held;
     for (const auto& [id, record] : m_calls) {
         if (record.isRunning || !ledger.mayBeHeld(quickHashOf(contentOf(record.call))))
             continue;
         const auto content = contentIdOf(contentOf(record.call));
-        if (ledger.verdictOf(content, now) == CrashLedger::Verdict::Held)
-            held.emplace_back(id, ledger.untilTrial(content, now));
+        if (ledger.verdictOf(content, now) == CrashTracker::Verdict::Held)
+            held.emplace_back(id, ledger.timeUntilTrial(content, now));
     }
     for (const auto& [id, length] : held) {
         if (m_admission.cancelWaiting(id))
--- a/src/Node/OwnerLife.cpp
+++ b/src/Node/OwnerLife.cpp
@@ -26,9 +26,9 @@
         if (isSameAddress && !m_leaving.hasSign(LeavingSign::BackendServer)) {
             auto running = runningOn(*m_pool, now);
             if (!running.empty())
-                m_crashWatch.broke(std::move(running), now);
+                m_crashWatch.onRunBroken(std::move(running), now);
         }
-        if (const auto suspects = m_crashWatch.nextLife(now))
+        if (const auto suspects = m_crashWatch.onNewIncarnation(now))
             reportCrash(former.key(), *suspects, now);
     }
     m_isDown = false;
--- a/src/Node/OwnerRun.cpp
+++ b/src/Node/OwnerRun.cpp
@@ -42,7 +42,7 @@
 
 void Owner::probeBackend(Instant now)
 {
-    if (m_crashWatch.isAsking(now))
+    if (m_crashWatch.isBreakUnexplained(now))
         return probe(now);
     if (m_isDown) {
         if (now < m_nextProbe)
@@ -125,7 +125,7 @@
         const auto end = monotonicNow();
         setDown(!news.isReachable, end);
         if (news.isReachable)
-            m_crashWatch.answered(now);
+            m_crashWatch.onAnswer(now);
         if (news.isRefused)
             backendRefused(end);
         if (news.slowdown)
@@ -321,7 +321,7 @@
 {
     auto& record = m_calls.at(id);
     record.pool->cancel(record.request);
-    m_crashWatch.cutOff(suspectOf(record, now), now);
+    m_crashWatch.onCallCutOff(suspectOf(record, now), now);
     const auto next = m_admission.finished(id, RunEnd::Failed, now);
     proto::Answer answer;
     answer.set_outcome(proto::UNKNOWN);
--- a/src/Node/Prober.cpp
+++ b/src/Node/Prober.cpp
@@ -50,7 +50,7 @@
         [this, now, done = std::move(done)](Result<HttpReply, HttpError> reply) {
             m_isOut = false;
             const auto end = monotonicNow();
-            m_budget.ended(end - now, end);
+            m_budget.onProbeEnded(end - now, end);
             ProbeNews none;
             none.isRefused = !reply.has_value() && reply.error().isRefused;
             done(reply.has_value() ? read(reply.value()) : none, end - now);
@@ -60,7 +60,7 @@
 
 bool Prober::tryProbe(HttpPool& pool, std::uint32_t freeSlots, std::uint32_t waiting, Instant now, Done done)
 {
-    if (m_isOut || !freeSlots || !m_budget.tryStart(waiting, now))
+    if (m_isOut || !freeSlots || !m_budget.tryStartProbe(waiting, now))
         return false;
     return probe(pool, now, std::move(done));
 }
--- a/src/Probing/ProbeBudget.cpp
+++ b/src/Probing/ProbeBudget.cpp
@@ -5,8 +5,8 @@
 namespace robinrun {
 
 ProbeBudget::ProbeBudget(Options options, Instant now)
-    : m_rate(options.probesPerSecond, 1, 0, now)
-    , m_slotTime(options.slotShare * options.slots, 0, 0, now)
+    : m_probeTokens(options.probesPerSecond, 1, 0, now)
+    , m_slotTimeTokens(options.slotShare * options.slots, 0, 0, now)
 {
     require(options.probesPerSecond >= 0, "ProbeBudget: rate not negative");
     require(options.slotShare >= 0, "ProbeBudget: share of slots not negative");
@@ -15,21 +15,21 @@
 void ProbeBudget::setOptions(Options options, Instant now)
 {
     require(options.probesPerSecond >= 0, "ProbeBudget::setOptions: rate not negative");
-    m_rate.setRate(options.probesPerSecond, now);
-    m_slotTime.setRate(options.slotShare * options.slots, now);
+    m_probeTokens.setRate(options.probesPerSecond, now);
+    m_slotTimeTokens.setRate(options.slotShare * options.slots, now);
 }
 
-bool ProbeBudget::tryStart(std::uint32_t waiting, Instant now)
+bool ProbeBudget::tryStartProbe(std::uint32_t waitingCalls, Instant now)
 {
-    if (waiting || m_slotTime.available(now) < 0 || !m_rate.tryTake(1, now))
+    if (waitingCalls || m_slotTimeTokens.available(now) < 0 || !m_probeTokens.tryTake(1, now))
         return false;
-    ++m_started;
+    ++m_startedProbes;
     return true;
 }
 
-void ProbeBudget::ended(Duration held, Instant now)
+void ProbeBudget::onProbeEnded(Duration slotTime, Instant now)
 {
-    m_slotTime.takeAnyway(toSeconds(held), now);
+    m_slotTimeTokens.takeAnyway(toSeconds(slotTime), now);
 }
 
 } // namespace robinrun
--- a/src/Probing/ProbeBudget.h
+++ b/src/Probing/ProbeBudget.h
@@ -25,18 +25,19 @@
     /// \brief Changes the budget from \a now on; what was spent stays spent.
     void setOptions(Options options, Instant now);
 
-    /// \returns whether a probe may start; if so it is counted. \param waiting calls that wait for a slot.
-    bool tryStart(std::uint32_t waiting, Instant now);
+    /// \returns whether a probe may start; if so it is counted. \param waitingCalls calls that wait for a
+    /// slot.
+    bool tryStartProbe(std::uint32_t waitingCalls, Instant now);
 
-    /// \brief A probe has ended that held a slot for \a held.
-    void ended(Duration held, Instant now);
+    /// \brief A probe has ended that held a slot for \a slotTime.
+    void onProbeEnded(Duration slotTime, Instant now);
 
-    std::uint64_t started() const { return m_started; }
+    std::uint64_t startedProbes() const { return m_startedProbes; }
 
 private:
-    TokenBucket m_rate;
-    TokenBucket m_slotTime; ///< seconds of slot time; goes below zero by at most one probe
-    std::uint64_t m_started = 0;
+    TokenBucket m_probeTokens;
+    TokenBucket m_slotTimeTokens; ///< seconds of slot time; goes below zero by at most one probe
+    std::uint64_t m_startedProbes = 0;
 };
 
 } // namespace robinrun
--- a/src/Rates/CreditLender.h
+++ b/src/Rates/CreditLender.h
@@ -2,7 +2,7 @@
 
 #include "Core/Time.h"
 #include "Rates/CreditTiming.h"
-#include "Rates/RateTerms.h"
+#include "Rates/RateTolerance.h"
 #include "peer.pb.h"
 
 #include <cstdint>
@@ -20,54 +20,54 @@
 /// bytes each.
 class CreditLender {
 public:
-    explicit CreditLender(RateTerms terms, CreditTiming timing = {});
+    explicit CreditLender(RateTolerance tolerance, CreditTiming timing = {});
 
-    void setTerms(RateTerms terms) { m_terms = terms; }
+    void setTolerance(RateTolerance tolerance) { m_tolerance = tolerance; }
 
     /// \brief An ingress tells how its account stands, and is lent what there is.
-    /// \param life of the ingress; each has accounts of its own. \param rate of the group, as this node knows
-    /// it.
-    proto::CreditGrant take(
-        std::uint64_t life, const proto::CreditAccount& account, const GroupRate& rate, Instant now);
+    /// \param incarnation of the ingress; each has accounts of its own. \param rate of the group, as this
+    /// node knows it.
+    proto::CreditGrant lendCredits(
+        std::uint64_t incarnation, const proto::CreditAccount& account, const GroupRate& rate, Instant now);
 
     /// \brief Part of the nodes that this one hears. Below a half it is on the small side of a cut, where
     /// another lender may take its place: it then lends that part of its rate.
-    void setReach(double share) { m_reach = share; }
+    void setReachableFraction(double fraction) { m_reachableFraction = fraction; }
 
     /// \brief Closes accounts that have been silent for the term; what they held is lost.
-    void tick(Instant now);
+    void closeSilentAccounts(Instant now);
 
-    std::size_t accounts() const { return m_accounts.size(); }
+    std::size_t accountCount() const { return m_accounts.size(); }
     /// \returns the credits that are out.
-    double lent() const;
+    double outstandingCredits() const;
 
 private:
     using PartKey = std::pair<std::string, std::uint32_t>; ///< group, part
     using AccountKey = std::pair<PartKey, std::uint64_t>; ///< and the ingress's life
     struct Bucket {
-        double level = 0; ///< credits saved up
-        double lent = 0; ///< and not settled
-        Instant filled {};
-        std::uint32_t accounts = 0;
+        double availableCredits = 0; ///< credits saved up
+        double outstandingCredits = 0; ///< and not settled
+        Instant refilledAt {};
+        std::uint32_t accountCount = 0;
     };
     struct Account {
-        std::uint64_t opened = 0;
-        std::uint64_t lent = 0;
-        std::uint64_t used = 0;
-        std::uint64_t returned = 0;
-        Instant heard {};
+        std::uint64_t generation = 0;
+        std::uint64_t lentCredits = 0;
+        std::uint64_t usedCredits = 0;
+        std::uint64_t returnedCredits = 0;
+        Instant lastReportAt {};
 
-        std::uint64_t out() const { return lent - used - returned; }
+        std::uint64_t outstandingCredits() const { return lentCredits - usedCredits - returnedCredits; }
     };
 
-    Bucket& bucketOf(const PartKey& key, const RatePart& part, Instant now);
-    Account& accountOf(const AccountKey& key, const proto::CreditAccount& told, Bucket& bucket);
-    static void settle(Account& account, const proto::CreditAccount& told, Bucket& bucket);
-    std::uint32_t nextIn(const RatePart& part, const Bucket& bucket) const;
+    Bucket& refillBucket(const PartKey& key, const RatePart& part, Instant now);
+    Account& findOrOpenAccount(const AccountKey& key, const proto::CreditAccount& reported, Bucket& bucket);
+    static void settleAccount(Account& account, const proto::CreditAccount& reported, Bucket& bucket);
+    std::uint32_t nextCreditDelayMs(const RatePart& part, const Bucket& bucket) const;
 
-    RateTerms m_terms;
+    RateTolerance m_tolerance;
     CreditTiming m_timing;
-    double m_reach = 1;
+    double m_reachableFraction = 1;
     std::map<PartKey, Bucket> m_buckets;
     std::map<AccountKey, Account> m_accounts;
 };
--- a/src/Rates/CreditHomes.h
+++ b/src/Rates/LenderAssignment.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Rates/RateTerms.h"
+#include "Rates/RateTolerance.h"
 
 #include <array>
 #include <cstdint>
@@ -15,7 +15,7 @@
 ///
 /// Rendezvous hashing over the nodes with the most capacity, as a lender has more to do than others. Cost:
 /// O(nodes) for a group that is asked for first since the nodes changed, then O(log groups).
-class CreditHomes {
+class LenderAssignment {
 public:
     struct Node {
         std::string name;
@@ -26,14 +26,14 @@
     void setNodes(std::vector<Node> nodes);
 
     /// \returns the node that lends \a part of the rate of \a group; "" if there is no node.
-    const std::string& homeOf(std::string_view group, std::uint32_t part);
+    const std::string& lenderOf(std::string_view group, std::uint32_t part);
 
 private:
-    using Homes = std::array<std::string, mostRateParts>;
+    using PartLenders = std::array<std::string, maxRateParts>;
 
     std::vector<Node> m_nodes;
-    std::vector<std::string> m_lenders; ///< those with the most capacity
-    std::map<std::string, Homes, std::less<>> m_homes;
+    std::vector<std::string> m_candidates; ///< those with the most capacity
+    std::map<std::string, PartLenders, std::less<>> m_partLenders;
 };
 
 } // namespace robinrun
--- a/test/CrashTest.cpp
+++ b/test/CrashTest.cpp
@@ -18,16 +18,16 @@
 TEST_CASE("A request under which three servers have crashed is sent no more", "[crash]")
 {
     CrashFixture f;
-    f.crashOn("/poison");
-    f.crashAtLeast(3, "/read/poison");
-    f.pass(CrashFixture::inTouch);
-    const auto before = f.deliveries("/read/poison");
+    f.crashOnTargetSuffix("/poison");
+    f.crashServers(3, "/read/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
+    const auto before = f.runCount("/read/poison");
     for (std::size_t i = 0; i < 20; ++i) {
         f.call(i % f.places.size(), "GET", "/read/poison");
         f.pass(20ms);
     }
-    CHECK(f.deliveries("/read/poison") - before == 0);
-    f.until([&] { return f.areAllUp(); });
+    CHECK(f.runCount("/read/poison") - before == 0);
+    f.until([&] { return f.areAllServersUp(); });
     for (std::size_t i = 0; i < f.places.size(); ++i)
         f.untilServed(i);
 }
@@ -35,7 +35,7 @@
 namespace {
 
 /// \returns the value of a series at a node; -1 if it has none.
-double metric(CrashFixture& f, std::size_t node, const std::string& name)
+double metricValue(CrashFixture& f, std::size_t node, const std::string& name)
 {
     const auto text = f.send(f.places[node].settings.listen.metrics, { "GET", "/metrics", {}, {} }).body;
     const auto at = text.find("\n" + name + " ");
@@ -43,12 +43,12 @@
 }
 
 /// \brief Sends \a path to all nodes in turn. \returns how often it began to run at a server.
-std::size_t deliveriesOf(CrashFixture& f, const std::string& path, std::size_t rounds)
+std::size_t countRuns(CrashFixture& f, const std::string& path, std::size_t rounds)
 {
-    const auto before = f.deliveries(path);
+    const auto before = f.runCount(path);
     for (std::size_t i = 0; i < rounds * f.places.size(); ++i)
         f.call(i % f.places.size(), "GET", path);
-    return f.deliveries(path) - before;
+    return f.runCount(path) - before;
 }
 
 } // namespace
@@ -56,9 +56,9 @@
 TEST_CASE("A request that is held back is refused at once, with a reason and a time to come back", "[crash]")
 {
     CrashFixture f;
-    f.crashOn("/poison");
-    f.crashAtLeast(3, "/read/poison");
-    f.pass(CrashFixture::inTouch);
+    f.crashOnTargetSuffix("/poison");
+    f.crashServers(3, "/read/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
     const auto reply = f.call(0, "GET", "/read/poison");
     CHECK(reply.status == 503);
     CHECK(findHeader(reply.headers, "Robinrun-Outcome") == "not-run");
@@ -71,14 +71,14 @@
 TEST_CASE("Other requests of the same path and the same request elsewhere are served on", "[crash]")
 {
     CrashFixture f;
-    f.crashOn("/poison");
-    f.crashAtLeast(3, "/read/poison");
-    f.pass(CrashFixture::inTouch);
-    f.until([&] { return f.areAllUp(); });
+    f.crashOnTargetSuffix("/poison");
+    f.crashServers(3, "/read/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
+    f.until([&] { return f.areAllServersUp(); });
     for (std::size_t i = 0; i < f.places.size(); ++i) {
         f.untilServed(i);
         CHECK(f.call(i, "GET", "/read/poison?x=1").status != 503);
-        f.until([&] { return f.areAllUp(); });
+        f.until([&] { return f.areAllServersUp(); });
         auto withBody = f.request("GET", "/read/poison");
         withBody.body = "other";
         for (auto& it : f.places)
@@ -91,70 +91,70 @@
 TEST_CASE("Nodes that start again, and all at once, still hold back what crashed servers before", "[crash]")
 {
     CrashFixture f;
-    f.crashOn("/poison");
-    f.crashAtLeast(3, "/read/poison");
-    f.pass(CrashFixture::inTouch);
-    const bool isAll = GENERATE(false, true);
-    INFO(isAll);
-    for (std::size_t i = isAll ? 0 : f.places.size() - 2; i < f.places.size(); ++i)
+    f.crashOnTargetSuffix("/poison");
+    f.crashServers(3, "/read/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
+    const bool restartsAll = GENERATE(false, true);
+    INFO(restartsAll);
+    for (std::size_t i = restartsAll ? 0 : f.places.size() - 2; i < f.places.size(); ++i)
         f.places[i].node.reset();
     for (std::size_t i = 0; i < f.places.size(); ++i) {
         if (!f.places[i].node)
             f.startNode(i);
     }
     // Also before they are ready.
-    CHECK(deliveriesOf(f, "/read/poison", 3) == 0);
-    f.pass(CrashFixture::inTouch);
+    CHECK(countRuns(f, "/read/poison", 3) == 0);
+    f.pass(CrashFixture::maxPropagationDelay);
     for (std::size_t i = 0; i < f.places.size(); ++i)
         f.untilServed(i);
-    CHECK(deliveriesOf(f, "/read/poison", 2) == 0);
+    CHECK(countRuns(f, "/read/poison", 2) == 0);
 }
 
 TEST_CASE("A node that is new hears of crashes before it sends", "[crash]")
 {
     CrashFixture f;
-    f.crashOn("/poison");
-    f.crashAtLeast(3, "/read/poison");
-    f.pass(CrashFixture::inTouch);
-    const auto added = f.add("shop", "h2");
-    f.startHeartbeats(added);
-    f.places[added].backend->crashesOn = f.places[1].backend->crashesOn;
+    f.crashOnTargetSuffix("/poison");
+    f.crashServers(3, "/read/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
+    const auto newNode = f.add("shop", "h2");
+    f.startHeartbeats(newNode);
+    f.places[newNode].backend->crashesOn = f.places[1].backend->crashesOn;
     for (int i = 0; i < 30; ++i) {
-        f.call(added, "GET", "/read/poison");
+        f.call(newNode, "GET", "/read/poison");
         f.pass(5ms);
     }
-    CHECK(f.deliveries("/read/poison") == f.crashes());
-    f.untilServed(added);
-    f.call(added, "GET", "/read/poison");
-    CHECK(f.deliveries("/read/poison") == f.crashes());
+    CHECK(f.runCount("/read/poison") == f.crashCount());
+    f.untilServed(newNode);
+    f.call(newNode, "GET", "/read/poison");
+    CHECK(f.runCount("/read/poison") == f.crashCount());
 }
 
 TEST_CASE("Who is blamed when a server ends while calls run on it", "[crash]")
 {
     CrashFixture f(1);
     auto& backend = *f.places[1].backend;
-    const auto reportsAfter = [&](const std::function<void()>& cause) {
+    const auto newReportsAfter = [&](const std::function<void()>& cause) {
         backend.holds = true;
-        const auto before = metric(f, 0, "robinrun_crash_reports");
+        const auto before = metricValue(f, 0, "robinrun_crash_reports");
         const auto held = backend.held.size();
-        f.sendAside(0, f.request("GET", "/read/harmless"));
+        f.sendWithoutWaiting(0, f.request("GET", "/read/harmless"));
         f.until([&] { return backend.held.size() > held; });
         cause();
         backend.holds = false;
         f.pass(400ms);
-        f.until([&] { return f.areAllUp(); });
+        f.until([&] { return f.areAllServersUp(); });
         f.untilServed(0);
-        return metric(f, 0, "robinrun_crash_reports") - before;
+        return metricValue(f, 0, "robinrun_crash_reports") - before;
     };
     SECTION("it is killed: what ran there has one strike, which holds nothing back")
     {
-        CHECK(reportsAfter([&] { backend.crash(); }) == 1);
-        CHECK(metric(f, 0, "robinrun_requests_held") == 0);
+        CHECK(newReportsAfter([&] { backend.crash(); }) == 1);
+        CHECK(metricValue(f, 0, "robinrun_requests_held") == 0);
         CHECK(f.call(0, "GET", "/read/harmless").status == 200);
     }
     SECTION("connections are reset: nobody")
     {
-        CHECK(reportsAfter([&] {
+        CHECK(newReportsAfter([&] {
             backend.stop();
             backend.held.clear();
             backend.start();
@@ -162,7 +162,7 @@
     }
     SECTION("it has said that it leaves: nobody")
     {
-        CHECK(reportsAfter([&] {
+        CHECK(newReportsAfter([&] {
             REQUIRE(f.announce(1, "draining", 100'000) == 200);
             backend.crash();
         }) == 0);
@@ -170,32 +170,32 @@
     SECTION("the answer is lost: nobody")
     {
         backend.hangsUp = true;
-        const auto before = metric(f, 0, "robinrun_crash_reports");
+        const auto before = metricValue(f, 0, "robinrun_crash_reports");
         f.call(0, "GET", "/read/harmless");
         backend.hangsUp = false;
         f.pass(400ms);
-        CHECK(metric(f, 0, "robinrun_crash_reports") == before);
+        CHECK(metricValue(f, 0, "robinrun_crash_reports") == before);
     }
 }
 
 TEST_CASE("A call that runs well between crashes is served on", "[crash]")
 {
     CrashFixture f;
-    f.crashOn("/poison");
-    std::vector<Timer> paces;
+    f.crashOnTargetSuffix("/poison");
+    std::vector<Timer> callTimers;
     for (std::size_t i = 0; i < f.places.size(); ++i)
-        paces.push_back(Timer::repeating(
-            f.base.get(), 20ms, [&f, i] { f.sendAside(i, f.request("GET", "/read/often")); }));
-    f.crashAtLeast(3, "/read/other/poison");
-    f.pass(CrashFixture::inTouch);
-    f.crashAtLeast(f.crashes() + 3, "/read/poison");
-    f.pass(CrashFixture::inTouch);
-    paces.clear();
-    f.until([&] { return f.areAllUp(); });
+        callTimers.push_back(Timer::repeating(
+            f.base.get(), 20ms, [&f, i] { f.sendWithoutWaiting(i, f.request("GET", "/read/often")); }));
+    f.crashServers(3, "/read/other/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
+    f.crashServers(f.crashCount() + 3, "/read/poison");
+    f.pass(CrashFixture::maxPropagationDelay);
+    callTimers.clear();
+    f.until([&] { return f.areAllServersUp(); });
     for (std::size_t i = 0; i < f.places.size(); ++i) {
         f.untilServed(i);
         CHECK(f.call(i, "GET", "/read/often").status == 200);
-        CHECK(metric(f, i, "robinrun_requests_held") >= 1);
+        CHECK(metricValue(f, i, "robinrun_requests_held") >= 1);
     }
 }
 
@@ -203,30 +203,30 @@
     "[crash]")
 {
     CrashFixture f(1);
-    f.crashOn("/poison");
+    f.crashOnTargetSuffix("/poison");
     auto& backend = *f.places[1].backend;
     for (int i = 0; i < 3; ++i) {
         backend.holds = true;
         f.until([&] {
-            f.sendAside(0, f.request("GET", "/read/beside"));
+            f.sendWithoutWaiting(0, f.request("GET", "/read/beside"));
             f.pass(20ms);
             return !backend.held.empty();
         });
-        f.sendAside(0, f.request("GET", "/read/poison"));
+        f.sendWithoutWaiting(0, f.request("GET", "/read/poison"));
         f.until([&] { return backend.crashes > i; });
         f.until([&] { return backend.isUp(); });
-        f.pass(4 * CrashFixture::heartbeat);
+        f.pass(4 * CrashFixture::heartbeatInterval);
     }
     backend.holds = false;
-    REQUIRE(metric(f, 0, "robinrun_requests_held") == 2);
+    REQUIRE(metricValue(f, 0, "robinrun_requests_held") == 2);
     CHECK(f.call(0, "GET", "/read/beside").status == 503);
-    const auto limit = CrashLedger::Options().trialIfShared;
-    f.pass(limit + 100ms);
+    const auto trialDelay = CrashTracker::Options().ambiguousTrialDelay;
+    f.pass(trialDelay + 100ms);
     CHECK(f.call(0, "GET", "/read/beside").status == 200);
     CHECK(f.call(0, "GET", "/read/beside").status == 200);
-    f.pass(CrashFixture::inTouch);
+    f.pass(CrashFixture::maxPropagationDelay);
     // With that, only the other one is left as the cause: it is not tried so soon.
     CHECK(f.call(0, "GET", "/read/poison").status == 503);
     CHECK(backend.crashes == 3);
-    CHECK(metric(f, 0, "robinrun_requests_held") == 1);
+    CHECK(metricValue(f, 0, "robinrun_requests_held") == 1);
 }
--- a/test/ProbeBudgetTest.cpp
+++ b/test/ProbeBudgetTest.cpp
@@ -13,26 +13,27 @@
         ProbeBudget::Options options { 0.1 + random.unit() * 20, 0.001 + random.unit() * 0.02, 12 };
         Instant now {};
         ProbeBudget budget(options, now);
-        double started = 0;
-        double heldSeconds = 0;
-        double longest = 0;
+        double startedProbes = 0;
+        double totalSlotSeconds = 0;
+        double longestProbeSeconds = 0;
         for (int i = 0; i < 3000; ++i) {
             now += Duration(static_cast<std::int64_t>(random.exponential(10000)));
             if (random.chance(0.01))
                 budget = ProbeBudget(options, now); // the node restarts
             const auto waiting = static_cast<std::uint32_t>(random.below(3));
-            if (!budget.tryStart(waiting, now))
+            if (!budget.tryStartProbe(waiting, now))
                 continue;
             RC_ASSERT(waiting == 0U);
-            const double held = random.exponential(0.01);
-            budget.ended(fromSeconds(held), now);
-            ++started;
-            heldSeconds += held;
-            longest = std::max(longest, held);
+            const double slotSeconds = random.exponential(0.01);
+            budget.onProbeEnded(fromSeconds(slotSeconds), now);
+            ++startedProbes;
+            totalSlotSeconds += slotSeconds;
+            longestProbeSeconds = std::max(longestProbeSeconds, slotSeconds);
             const double elapsed = toSeconds(now - Instant {});
-            RC_ASSERT(started <= elapsed * options.probesPerSecond + 1 + 1e-6);
+            RC_ASSERT(startedProbes <= elapsed * options.probesPerSecond + 1 + 1e-6);
             // Each restart may forget the debt of one probe; all others are paid for in time.
-            RC_ASSERT(heldSeconds <= elapsed * options.slotShare * options.slots + 31 * longest);
+            RC_ASSERT(
+                totalSlotSeconds <= elapsed * options.slotShare * options.slots + 31 * longestProbeSeconds);
         }
     });
 }
@@ -40,20 +41,20 @@
 TEST_CASE("A changed budget is in force at once, and forgets nothing", "[probing]")
 {
     ProbeBudget budget({ 0, 1, 12 }, {});
-    REQUIRE_FALSE(budget.tryStart(0, Instant(10s)));
+    REQUIRE_FALSE(budget.tryStartProbe(0, Instant(10s)));
     budget.setOptions({ 1, 0.001, 12 }, Instant(10s));
-    REQUIRE_FALSE(budget.tryStart(0, Instant(10s)));
-    REQUIRE(budget.tryStart(0, Instant(11s)));
-    budget.ended(120ms, Instant(11s));
-    REQUIRE_FALSE(budget.tryStart(0, Instant(20s))); // 12 ms of slot time a second: the debt lasts 10 s
-    REQUIRE(budget.tryStart(0, Instant(21100ms)));
+    REQUIRE_FALSE(budget.tryStartProbe(0, Instant(10s)));
+    REQUIRE(budget.tryStartProbe(0, Instant(11s)));
+    budget.onProbeEnded(120ms, Instant(11s));
+    REQUIRE_FALSE(budget.tryStartProbe(0, Instant(20s))); // 12 ms of slot time a second: the debt lasts 10 s
+    REQUIRE(budget.tryStartProbe(0, Instant(21100ms)));
 }
 
 TEST_CASE("Under pressure no probe starts", "[probing]")
 {
     ProbeBudget budget({ 10, 1, 12 }, {});
-    REQUIRE_FALSE(budget.tryStart(0, {}));
-    REQUIRE_FALSE(budget.tryStart(1, Instant(1s)));
-    REQUIRE(budget.tryStart(0, Instant(1s)));
-    REQUIRE_FALSE(budget.tryStart(0, Instant(1050ms)));
+    REQUIRE_FALSE(budget.tryStartProbe(0, {}));
+    REQUIRE_FALSE(budget.tryStartProbe(1, Instant(1s)));
+    REQUIRE(budget.tryStartProbe(0, Instant(1s)));
+    REQUIRE_FALSE(budget.tryStartProbe(0, Instant(1050ms)));
 }
--- a/test/RatesTest.cpp
+++ b/test/RatesTest.cpp
@@ -11,29 +11,29 @@
 
 namespace {
 
-constexpr std::size_t hosts = 74;
+constexpr std::size_t hostCount = 74;
 
 /// \brief Brings calls of groups to nodes at given rates.
-class Demand {
+class CallGenerator {
 public:
-    Demand(RatesModel& model, std::uint64_t seed)
+    CallGenerator(RatesModel& model, std::uint64_t seed)
         : m_model(&model)
         , m_random(seed)
     {
     }
 
     /// \brief Lets \a length pass with \a perSecond calls of \a group at the nodes from \a first on.
-    void pass(
+    void generate(
         const std::string& group, double perSecond, std::size_t first, std::size_t count, Duration length)
     {
         const auto end = m_model->now + length;
         while (m_model->now < end) {
             m_model->step();
-            m_due += perSecond * 0.001 * -std::log(1 - m_random.unit());
-            for (; m_due >= 1; --m_due) {
+            m_pendingCalls += perSecond * 0.001 * -std::log(1 - m_random.unit());
+            for (; m_pendingCalls >= 1; --m_pendingCalls) {
                 const auto i = first + m_random.below(count);
                 if (!m_model->nodes[i].isFrozen)
-                    m_model->call(i, group);
+                    m_model->startCall(i, group);
             }
         }
     }
@@ -41,7 +41,7 @@
 private:
     RatesModel* m_model;
     Random m_random;
-    double m_due = 0;
+    double m_pendingCalls = 0;
 };
 
 } // namespace
@@ -51,29 +51,30 @@
     rc::prop("losses, cuts, restarts, freezes, changed rates", [] {
         const GroupRate rate { *rc::gen::element(0.0, 2.0, 20.0, 100.0) + 0.5,
             *rc::gen::element(0.0, 2.0, 100.0) };
-        const auto n = *rc::gen::inRange<std::size_t>(1, 12);
-        RatesModel model(n, { { "g", rate } }, *rc::gen::inRange(1, 1000));
-        model.loss = *rc::gen::element(0.0, 0.05, 0.5);
-        model.jitter = *rc::gen::element(0.3, 100.0);
-        model.refusedShare = *rc::gen::element(0.0, 0.3);
-        Demand demand(model, *rc::gen::inRange(1, 1000));
+        const auto nodeCount = *rc::gen::inRange<std::size_t>(1, 12);
+        RatesModel model(nodeCount, { { "g", rate } }, *rc::gen::inRange(1, 1000));
+        model.lossProbability = *rc::gen::element(0.0, 0.05, 0.5);
+        model.maxJitterFraction = *rc::gen::element(0.3, 100.0);
+        model.refusedFraction = *rc::gen::element(0.0, 0.3);
+        CallGenerator generator(model, *rc::gen::inRange(1, 1000));
         const auto faults = *rc::gen::container<std::vector<int>>(12, rc::gen::inRange(0, 8));
         for (const auto fault : faults) {
-            const auto i = model.random.below(n);
+            const auto i = model.random.below(nodeCount);
             auto& node = model.nodes[i];
             if (fault == 0)
-                model.restart(i);
+                model.restartNode(i);
             if (fault == 1)
-                node.side = 1 - node.side;
+                node.partition = 1 - node.partition;
             if (fault == 2)
                 node.isFrozen = !node.isFrozen;
             if (fault == 3) {
                 for (auto& it : model.nodes)
-                    it.side = 0;
+                    it.partition = 0;
             }
-            demand.pass("g", *rc::gen::element(0.5, 1.5, 7.0) * rate.perSecond, 0, n, 700ms);
+            generator.generate(
+                "g", *rc::gen::element(0.5, 1.5, 7.0) * rate.callsPerSecond, 0, nodeCount, 700ms);
         }
-        RC_ASSERT(double(model.mostInWindow("g")) <= model.terms.bound(rate));
+        RC_ASSERT(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
     });
 }
 
@@ -81,125 +82,127 @@
 {
     const GroupRate rate { 20, 20 };
     RatesModel model(8, { { "g", rate } }, 3);
-    Demand demand(model, 4);
-    demand.pass("g", 10, 0, 8, 5s);
+    CallGenerator generator(model, 4);
+    generator.generate("g", 10, 0, 8, 5s);
     for (int k = 0; k < 4; ++k) {
         for (std::size_t i = 0; i < 8; ++i)
-            model.restart(i);
-        demand.pass("g", 140, 0, 8, 1s);
+            model.restartNode(i);
+        generator.generate("g", 140, 0, 8, 1s);
     }
-    REQUIRE(double(model.mostInWindow("g")) <= model.terms.bound(rate));
+    REQUIRE(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
 }
 
 TEST_CASE("Below its rate no call is refused, whether its group is large or has a call a second", "[rates]")
 {
     for (const double perSecond : { 189.0, 20.0, 1.6 }) {
         const GroupRate rate { perSecond, perSecond };
-        RatesModel model(hosts, { { "g", rate } }, 5);
-        Demand demand(model, 6);
+        RatesModel model(hostCount, { { "g", rate } }, 5);
+        CallGenerator generator(model, 6);
         // All of it at a few callers' hosts, as far as it is small.
-        const auto at = std::clamp<std::size_t>(static_cast<std::size_t>(perSecond), 2, hosts);
-        demand.pass("g", perSecond / 1.6, 0, at, 12s);
-        const auto before = model.refused["g"];
-        const auto asked = model.asked["g"];
-        demand.pass("g", perSecond / 1.6, 0, at, 20s);
+        const auto hostsUsed = std::clamp<std::size_t>(static_cast<std::size_t>(perSecond), 2, hostCount);
+        generator.generate("g", perSecond / 1.6, 0, hostsUsed, 12s);
+        const auto refusedBefore = model.refusedCounts["g"];
+        const auto callsBefore = model.callCounts["g"];
+        generator.generate("g", perSecond / 1.6, 0, hostsUsed, 20s);
         CAPTURE(perSecond);
-        REQUIRE(double(model.refused["g"] - before) <= 0.005 * double(model.asked["g"] - asked));
+        REQUIRE(double(model.refusedCounts["g"] - refusedBefore)
+            <= 0.005 * double(model.callCounts["g"] - callsBefore));
     }
 }
 
 TEST_CASE("A group whose calls come in at three hosts of 74, or move to others, soon has its rate", "[rates]")
 {
     const GroupRate rate { 100, 100 };
-    RatesModel model(hosts, { { "g", rate } }, 7);
-    Demand demand(model, 8);
-    demand.pass("g", 60, 20, 50, 10s);
-    demand.pass("g", 400, 0, 3, 4s); // the burst is used up, and the change is a second old by far
-    auto from = model.now;
-    demand.pass("g", 400, 0, 3, 4s);
-    REQUIRE(double(model.ranSince("g", from)) >= 0.95 * 4 * rate.perSecond);
-    demand.pass("g", 400, 40, 20, 2s);
-    from = model.now;
-    demand.pass("g", 400, 40, 20, 4s);
-    REQUIRE(double(model.ranSince("g", from)) >= 0.95 * 4 * rate.perSecond);
-    REQUIRE(double(model.mostInWindow("g")) <= model.terms.bound(rate));
+    RatesModel model(hostCount, { { "g", rate } }, 7);
+    CallGenerator generator(model, 8);
+    generator.generate("g", 60, 20, 50, 10s);
+    generator.generate("g", 400, 0, 3, 4s); // the burst is used up, and the change is a second old by far
+    auto measuredFrom = model.now;
+    generator.generate("g", 400, 0, 3, 4s);
+    REQUIRE(double(model.runsSince("g", measuredFrom)) >= 0.95 * 4 * rate.callsPerSecond);
+    generator.generate("g", 400, 40, 20, 2s);
+    measuredFrom = model.now;
+    generator.generate("g", 400, 40, 20, 4s);
+    REQUIRE(double(model.runsSince("g", measuredFrom)) >= 0.95 * 4 * rate.callsPerSecond);
+    REQUIRE(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
 }
 
 TEST_CASE("One that sends many times its usual is held to its rate, and what it asks costs little", "[rates]")
 {
     const GroupRate rate { 180, 180 };
-    RatesModel model(hosts, { { "g", rate } }, 9);
-    Demand demand(model, 10);
-    demand.pass("g", 112, 0, hosts, 6s);
-    const auto sent = model.sent;
-    demand.pass("g", 840, 0, hosts, 8s);
-    REQUIRE(double(model.mostInWindow("g")) <= model.terms.bound(rate));
-    REQUIRE(double(model.ranSince("g", model.now - 6s)) >= 0.9 * 6 * rate.perSecond);
+    RatesModel model(hostCount, { { "g", rate } }, 9);
+    CallGenerator generator(model, 10);
+    generator.generate("g", 112, 0, hostCount, 6s);
+    const auto sentBefore = model.sentMessages;
+    generator.generate("g", 840, 0, hostCount, 8s);
+    REQUIRE(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
+    REQUIRE(double(model.runsSince("g", model.now - 6s)) >= 0.9 * 6 * rate.callsPerSecond);
     // Asks and grants, of each node and second.
-    REQUIRE(double(model.sent - sent) / 8 / hosts <= 30);
+    REQUIRE(double(model.sentMessages - sentBefore) / 8 / hostCount <= 30);
 }
 
 TEST_CASE("A lost lender costs its part until it is back, and no call waits long for it", "[rates]")
 {
     const GroupRate rate { 100, 100 };
-    RatesModel model(hosts, { { "g", rate } }, 11);
-    Demand demand(model, 12);
-    demand.pass("g", 60, 0, hosts, 8s);
-    CreditHomes homes;
-    homes.setNodes(model.known());
-    const auto& home = homes.homeOf("g", 0);
+    RatesModel model(hostCount, { { "g", rate } }, 11);
+    CallGenerator generator(model, 12);
+    generator.generate("g", 60, 0, hostCount, 8s);
+    LenderAssignment homes;
+    homes.setNodes(model.nodeCapacities());
+    const auto& lender = homes.lenderOf("g", 0);
     for (auto& it : model.nodes)
-        it.isFrozen = it.name == home;
-    demand.pass("g", 60, 0, hosts, 500ms);
-    const auto asked = model.asked["g"];
-    const auto refused = model.refused["g"];
-    demand.pass("g", 60, 0, hosts, 6s);
-    REQUIRE(double(model.refused["g"] - refused) <= 0.05 * double(model.asked["g"] - asked));
+        it.isFrozen = it.name == lender;
+    generator.generate("g", 60, 0, hostCount, 500ms);
+    const auto callsBefore = model.callCounts["g"];
+    const auto refusedBefore = model.refusedCounts["g"];
+    generator.generate("g", 60, 0, hostCount, 6s);
+    REQUIRE(double(model.refusedCounts["g"] - refusedBefore)
+        <= 0.05 * double(model.callCounts["g"] - callsBefore));
 }
 
 TEST_CASE("A home is the same for all that know the same nodes, and moves with its node alone", "[rates]")
 {
-    CreditHomes a;
-    CreditHomes b;
-    std::vector<CreditHomes::Node> nodes;
+    LenderAssignment a;
+    LenderAssignment b;
+    std::vector<LenderAssignment::Node> nodes;
     for (std::size_t i = 0; i < 40; ++i)
         nodes.push_back({ "n" + std::to_string(i), 1 });
     a.setNodes(nodes);
     std::reverse(nodes.begin(), nodes.end());
     b.setNodes(nodes);
-    std::map<std::string, int> load;
+    std::map<std::string, int> partsPerNode;
     for (int g = 0; g < 100; ++g) {
-        for (std::uint32_t part = 0; part < mostRateParts; ++part) {
+        for (std::uint32_t part = 0; part < maxRateParts; ++part) {
             const auto name = "g" + std::to_string(g);
-            REQUIRE(a.homeOf(name, part) == b.homeOf(name, part));
-            ++load[a.homeOf(name, part)];
+            REQUIRE(a.lenderOf(name, part) == b.lenderOf(name, part));
+            ++partsPerNode[a.lenderOf(name, part)];
         }
     }
-    REQUIRE(load.size() == 40);
-    const auto lost = a.homeOf("g0", 0);
-    std::erase_if(nodes, [&](const auto& it) { return it.name == lost; });
+    REQUIRE(partsPerNode.size() == 40);
+    const auto lostNode = a.lenderOf("g0", 0);
+    std::erase_if(nodes, [&](const auto& it) { return it.name == lostNode; });
     b.setNodes(nodes);
     for (int g = 0; g < 100; ++g) {
         const auto name = "g" + std::to_string(g);
-        REQUIRE((a.homeOf(name, 0) == b.homeOf(name, 0) || a.homeOf(name, 0) == lost));
+        REQUIRE((a.lenderOf(name, 0) == b.lenderOf(name, 0) || a.lenderOf(name, 0) == lostNode));
     }
     for (std::size_t i = 0; i < 8; ++i)
         nodes[i].capacity = 5; // these have more room than the others
     b.setNodes(nodes);
     for (int g = 0; g < 40; ++g) {
-        const auto& home = b.homeOf("g" + std::to_string(g), 1);
+        const auto& lender = b.lenderOf("g" + std::to_string(g), 1);
         REQUIRE(
-            std::any_of(nodes.begin(), nodes.begin() + 8, [&](const auto& it) { return it.name == home; }));
+            std::any_of(nodes.begin(), nodes.begin() + 8, [&](const auto& it) { return it.name == lender; }));
     }
     b.setNodes({});
-    REQUIRE(b.homeOf("g0", 0).empty());
+    REQUIRE(b.lenderOf("g0", 0).empty());
 }
 
 TEST_CASE("A lender takes no word for more than it lent, nor an old account for a new one", "[rates]")
 {
-    CreditLender lender { RateTerms {} };
+    CreditLender lender { RateTolerance {} };
     const GroupRate rate { 40, 40 };
-    const auto told
+    const auto report
         = [](std::uint64_t opened, std::uint64_t used, std::uint64_t returned, std::uint32_t wanted) {
               proto::CreditAccount out;
               out.set_group("g");
@@ -210,20 +213,20 @@
               return out;
           };
     Instant now { 100s };
-    (void)lender.take(1, told(1, 0, 0, 0), rate, now);
+    (void)lender.lendCredits(1, report(1, 0, 0, 0), rate, now);
     now += 1s;
-    const auto lent = lender.take(1, told(1, 0, 0, 5), rate, now).lent();
+    const auto lent = lender.lendCredits(1, report(1, 0, 0, 5), rate, now).lent();
     REQUIRE(lent == 5);
-    REQUIRE(lender.lent() == 5);
-    REQUIRE(lender.take(1, told(1, 0, 9, 5), rate, now).lent() == 5); // it can't return nine
-    REQUIRE(lender.lent() == 5);
-    REQUIRE(lender.take(1, told(1, 2, 3, 0), rate, now).lent() == 5);
-    REQUIRE(lender.lent() == 0);
-    REQUIRE(lender.take(1, told(2, 0, 0, 4), rate, now).lent() == 4);
-    REQUIRE(lender.take(1, told(1, 2, 3, 9), rate, now).opened() == 2); // late on its way
-    REQUIRE(lender.lent() == 4);
+    REQUIRE(lender.outstandingCredits() == 5);
+    REQUIRE(lender.lendCredits(1, report(1, 0, 9, 5), rate, now).lent() == 5); // it can't return nine
+    REQUIRE(lender.outstandingCredits() == 5);
+    REQUIRE(lender.lendCredits(1, report(1, 2, 3, 0), rate, now).lent() == 5);
+    REQUIRE(lender.outstandingCredits() == 0);
+    REQUIRE(lender.lendCredits(1, report(2, 0, 0, 4), rate, now).lent() == 4);
+    REQUIRE(lender.lendCredits(1, report(1, 2, 3, 9), rate, now).opened() == 2); // late on its way
+    REQUIRE(lender.outstandingCredits() == 4);
     now += 5s; // longer than the term
-    lender.tick(now);
-    REQUIRE(lender.lent() == 0);
-    REQUIRE(lender.accounts() == 0);
+    lender.closeSilentAccounts(now);
+    REQUIRE(lender.outstandingCredits() == 0);
+    REQUIRE(lender.accountCount() == 0);
 }
--- a/test/soak/Ledger.cpp
+++ b/test/soak/Ledger.cpp
@@ -1,7 +1,7 @@
 #include "soak/Ledger.h"
 
 #include "Http/HttpStatus.h"
-#include "Rates/RateTerms.h"
+#include "Rates/RateTolerance.h"
 
 #include <algorithm>
 
@@ -36,11 +36,11 @@
     if (group != boundedGroup)
         return;
     const auto now = monotonicNow();
-    const RateTerms terms;
+    const RateTolerance terms;
     m_boundedRuns.push_back(now);
     while (now - m_boundedRuns.front() >= terms.window)
         m_boundedRuns.pop_front();
-    if (double(m_boundedRuns.size()) > terms.bound({ boundedRate, boundedRate }))
+    if (double(m_boundedRuns.size()) > terms.maxCallsPerWindow({ boundedRate, boundedRate }))
         broken("a group ran " + std::to_string(m_boundedRuns.size())
             + " calls in a window, above its rate: " + id);
 }
--- a/test/support/RatesModel.h
+++ b/test/support/RatesModel.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/Random.h"
-#include "Rates/RateKeeper.h"
+#include "Rates/GroupRateLimiter.h"
 
 #include <algorithm>
 #include <deque>
@@ -18,62 +18,63 @@
 struct RatesModel {
     struct Node {
         std::string name;
-        std::uint64_t life = 0;
-        std::unique_ptr<RateKeeper> keeper;
-        std::deque<std::pair<Instant, std::string>> waiting; ///< calls that wait for a credit, until when
-        int side = 0; ///< of a cut; only nodes of one side hear each other
+        std::uint64_t incarnation = 0;
+        std::unique_ptr<GroupRateLimiter> limiter;
+        std::deque<std::pair<Instant, std::string>>
+            waitingCalls; ///< calls that wait for a credit, until when
+        int partition = 0; ///< of a cut; only nodes of one side hear each other
         bool isFrozen = false;
     };
     struct Message {
-        Instant at;
+        Instant arrivesAt;
         std::size_t from;
         std::size_t to;
-        std::uint64_t toLife;
+        std::uint64_t toIncarnation;
         proto::PeerMessage body;
     };
 
-    struct UnderWay {
-        Instant until;
+    struct RunningCall {
+        Instant endsAt;
         std::size_t node;
-        std::uint64_t life;
+        std::uint64_t incarnation;
         std::string group;
-        CreditPurse::Credit credit;
+        CreditBorrower::Credit credit;
         bool isRefused;
     };
 
-    static constexpr std::size_t capable = 8;
-    static constexpr Duration patience = 100ms;
+    static constexpr std::size_t largeNodeCount = 8;
+    static constexpr Duration creditWaitTimeout = 100ms;
 
-    RatesModel(std::size_t n, std::map<std::string, GroupRate> rates, std::uint64_t seed)
+    RatesModel(std::size_t nodeCount, std::map<std::string, GroupRate> rates, std::uint64_t seed)
         : random(seed)
         , rates(std::move(rates))
     {
-        for (std::size_t i = 0; i < n; ++i) {
+        for (std::size_t i = 0; i < nodeCount; ++i) {
             nodes.emplace_back();
             nodes.back().name = "n" + std::to_string(i);
         }
-        for (std::size_t i = 0; i < n; ++i)
-            restart(i);
+        for (std::size_t i = 0; i < nodeCount; ++i)
+            restartNode(i);
     }
 
     /// \brief The first of the nodes have more capacity than the others, where there are many.
-    std::vector<CreditHomes::Node> known() const
+    std::vector<LenderAssignment::Node> nodeCapacities() const
     {
-        std::vector<CreditHomes::Node> out;
+        std::vector<LenderAssignment::Node> out;
         for (std::size_t i = 0; i < nodes.size(); ++i)
-            out.push_back({ nodes[i].name, i < capable ? 0.5 : 0.1 });
+            out.push_back({ nodes[i].name, i < largeNodeCount ? 0.5 : 0.1 });
         return out;
     }
 
     /// \brief The node starts anew with nothing in memory.
-    void restart(std::size_t i)
+    void restartNode(std::size_t i)
     {
         auto& node = nodes[i];
-        node.life = ++lastLife;
-        node.waiting.clear();
+        node.incarnation = ++lastIncarnation;
+        node.waitingCalls.clear();
         node.isFrozen = false;
-        RateKeeper::Options options { node.name, node.life, terms };
-        node.keeper = std::make_unique<RateKeeper>(
+        GroupRateLimiter::Options options { node.name, node.incarnation, tolerance };
+        node.limiter = std::make_unique<GroupRateLimiter>(
             options, [this, i](const std::string& to, proto::PeerMessage& message, Instant) {
                 for (std::size_t k = 0; k < nodes.size(); ++k) {
                     if (nodes[k].name == to)
@@ -81,133 +82,135 @@
                 }
                 return true;
             });
-        node.keeper->setRates(rates);
-        node.keeper->setNodes(known());
-        node.keeper->onChanged([this, i](const auto&, Instant) { retryWaiting(i); });
+        node.limiter->setRates(rates);
+        node.limiter->setNodes(nodeCapacities());
+        node.limiter->setCreditsChangedHandler([this, i](const auto&, Instant) { retryWaitingCalls(i); });
     }
 
     void send(std::size_t from, std::size_t to, const proto::PeerMessage& body)
     {
-        ++sent;
+        ++sentMessages;
         sentBytes += body.ByteSizeLong();
-        if (random.unit() < loss || nodes[from].side != nodes[to].side)
+        if (random.unit() < lossProbability || nodes[from].partition != nodes[to].partition)
             return;
-        const auto delay = fromSeconds(toSeconds(oneWay) * (1 + jitter * random.unit()));
-        messages.push_back({ now + delay, from, to, nodes[to].life, body });
+        const auto delay = fromSeconds(toSeconds(oneWayDelay) * (1 + maxJitterFraction * random.unit()));
+        messages.push_back({ now + delay, from, to, nodes[to].incarnation, body });
     }
 
     void deliver(const Message& message)
     {
         auto& node = nodes[message.to];
-        const bool isCut = nodes[message.from].side != node.side;
-        if (isCut || node.life != message.toLife)
+        const bool isCut = nodes[message.from].partition != node.partition;
+        if (isCut || node.incarnation != message.toIncarnation)
             return;
         if (message.body.has_credit_grants())
-            return node.keeper->takeGrants(nodes[message.from].name, message.body.credit_grants(), now);
+            return node.limiter->addGrants(nodes[message.from].name, message.body.credit_grants(), now);
         proto::PeerMessage answer;
         *answer.mutable_credit_grants()
-            = node.keeper->takeAsk(nodes[message.from].life, message.body.credit_ask(), now);
+            = node.limiter->lendCredits(nodes[message.from].incarnation, message.body.credit_ask(), now);
         send(message.to, message.from, answer);
     }
 
     /// \brief A call of \a group comes to node \a i.
-    void call(std::size_t i, const std::string& group)
+    void startCall(std::size_t i, const std::string& group)
     {
-        ++asked[group];
-        decide(i, group, now + patience, nodes[i].keeper->spend(group, now));
+        ++callCounts[group];
+        handleDecision(i, group, now + creditWaitTimeout, nodes[i].limiter->acquire(group, now));
     }
 
-    void decide(std::size_t i, const std::string& group, Instant until, const CreditPurse::Decision& decision)
+    void handleDecision(
+        std::size_t i, const std::string& group, Instant until, const CreditBorrower::Decision& decision)
     {
         switch (decision.verdict) {
-        case CreditPurse::Verdict::Spent:
-            underWay.push_back({ now + fromSeconds(runSeconds * random.unit()), i, nodes[i].life, group,
-                decision.credit, random.unit() < refusedShare });
-            if (!underWay.back().isRefused)
-                ran[group].push_back(now);
+        case CreditBorrower::Verdict::Allowed:
+            runningCalls.push_back({ now + fromSeconds(maxRunSeconds * random.unit()), i,
+                nodes[i].incarnation, group, decision.credit, random.unit() < refusedFraction });
+            if (!runningCalls.back().isRefused)
+                runTimes[group].push_back(now);
             return;
-        case CreditPurse::Verdict::Wait:
-            ++waits;
-            nodes[i].waiting.emplace_back(until, group);
+        case CreditBorrower::Verdict::Wait:
+            ++waitCount;
+            nodes[i].waitingCalls.emplace_back(until, group);
             return;
-        case CreditPurse::Verdict::Refused:
-            ++refused[group];
+        case CreditBorrower::Verdict::Refused:
+            ++refusedCounts[group];
         }
     }
 
-    void retryWaiting(std::size_t i)
+    void retryWaitingCalls(std::size_t i)
     {
-        const auto waiting = std::move(nodes[i].waiting);
-        nodes[i].waiting.clear();
-        for (const auto& [until, group] : waiting)
-            decide(i, group, until, nodes[i].keeper->retry(group, now));
+        const auto waitingCalls = std::move(nodes[i].waitingCalls);
+        nodes[i].waitingCalls.clear();
+        for (const auto& [until, group] : waitingCalls)
+            handleDecision(i, group, until, nodes[i].limiter->retryAcquire(group, now));
     }
 
-    void endCalls()
+    void endDueCalls()
     {
-        const auto isOver = [&](const UnderWay& it) { return it.until <= now; };
-        for (const auto& it : underWay) {
+        const auto hasEnded = [&](const RunningCall& it) { return it.endsAt <= now; };
+        for (const auto& it : runningCalls) {
             auto& node = nodes[it.node];
-            if (!isOver(it) || node.life != it.life)
+            if (!hasEnded(it) || node.incarnation != it.incarnation)
                 continue;
             if (it.isRefused)
-                node.keeper->giveBack(it.group, it.credit, now);
+                node.limiter->returnCredit(it.group, it.credit, now);
             else
-                node.keeper->ran(it.group, it.credit);
+                node.limiter->onCallRan(it.group, it.credit);
         }
-        std::erase_if(underWay, isOver);
+        std::erase_if(runningCalls, hasEnded);
     }
 
     /// \brief Lets 1 ms pass.
     void step()
     {
         now += 1ms;
-        endCalls();
-        std::vector<Message> due;
-        const auto isDue = [&](const Message& it) { return it.at <= now && !nodes[it.to].isFrozen; };
+        endDueCalls();
+        std::vector<Message> dueMessages;
+        const auto isDue = [&](const Message& it) { return it.arrivesAt <= now && !nodes[it.to].isFrozen; };
         for (const auto& it : messages) {
             if (isDue(it))
-                due.push_back(it);
+                dueMessages.push_back(it);
         }
         std::erase_if(messages, isDue);
-        for (const auto& it : due)
+        for (const auto& it : dueMessages)
             deliver(it);
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             auto& node = nodes[i];
             if (node.isFrozen)
                 continue;
-            const bool isTick = (now.time_since_epoch() / 1ms + static_cast<std::int64_t>(7 * i)) % 50 == 0;
-            if (isTick)
-                node.keeper->tick(now);
-            while (!node.waiting.empty() && node.waiting.front().first <= now) {
-                ++refused[node.waiting.front().second];
-                node.waiting.pop_front();
+            const bool isTickDue
+                = (now.time_since_epoch() / 1ms + static_cast<std::int64_t>(7 * i)) % 50 == 0;
+            if (isTickDue)
+                node.limiter->tick(now);
+            while (!node.waitingCalls.empty() && node.waitingCalls.front().first <= now) {
+                ++refusedCounts[node.waitingCalls.front().second];
+                node.waitingCalls.pop_front();
             }
         }
     }
 
     /// \returns the most calls of \a group that ran in any window.
-    std::size_t mostInWindow(const std::string& group) const
+    std::size_t maxRunsInWindow(const std::string& group) const
     {
-        const auto found = ran.find(group);
-        if (found == ran.end())
+        const auto found = runTimes.find(group);
+        if (found == runTimes.end())
             return 0;
-        std::size_t most = 0;
+        std::size_t maxRuns = 0;
         std::size_t first = 0;
         const auto& times = found->second;
         for (std::size_t i = 0; i < times.size(); ++i) {
-            while (times[i] - times[first] >= terms.window)
+            while (times[i] - times[first] >= tolerance.window)
                 ++first;
-            most = std::max(most, i - first + 1);
+            maxRuns = std::max(maxRuns, i - first + 1);
         }
-        return most;
+        return maxRuns;
     }
 
     /// \returns how many calls of \a group ran since \a from.
-    std::size_t ranSince(const std::string& group, Instant from) const
+    std::size_t runsSince(const std::string& group, Instant from) const
     {
-        const auto found = ran.find(group);
-        if (found == ran.end())
+        const auto found = runTimes.find(group);
+        if (found == runTimes.end())
             return 0;
         const auto isLater = [&](Instant it) { return it >= from; };
         return static_cast<std::size_t>(std::count_if(found->second.begin(), found->second.end(), isLater));
@@ -215,22 +218,22 @@
 
     Random random;
     std::map<std::string, GroupRate> rates;
-    RateTerms terms;
-    Duration oneWay = 2ms;
-    double jitter = 0.3;
-    double loss = 0;
-    double refusedShare = 0; ///< of the calls that were let through, that don't run
-    double runSeconds = 0.5; ///< that calls take at most
-    std::vector<UnderWay> underWay;
+    RateTolerance tolerance;
+    Duration oneWayDelay = 2ms;
+    double maxJitterFraction = 0.3;
+    double lossProbability = 0;
+    double refusedFraction = 0; ///< of the calls that were let through, that don't run
+    double maxRunSeconds = 0.5; ///< that calls take at most
+    std::vector<RunningCall> runningCalls;
     Instant now { 1s };
     std::vector<Node> nodes;
     std::vector<Message> messages;
-    std::uint64_t lastLife = 0;
-    std::map<std::string, std::vector<Instant>> ran;
-    std::map<std::string, std::size_t> asked;
-    std::map<std::string, std::size_t> refused;
-    std::size_t waits = 0;
-    std::size_t sent = 0;
+    std::uint64_t lastIncarnation = 0;
+    std::map<std::string, std::vector<Instant>> runTimes;
+    std::map<std::string, std::size_t> callCounts;
+    std::map<std::string, std::size_t> refusedCounts;
+    std::size_t waitCount = 0;
+    std::size_t sentMessages = 0;
     std::size_t sentBytes = 0;
 };
 
