--- a/src/Crashes/CallContent.cpp
+++ b/src/Crashes/CallContent.cpp
@@ -10,7 +10,8 @@
     constexpr std::size_t contentIdHexDigits = 16;
     constexpr int hexBase = 16;
 
-    /// \returns the fields one after the other, each behind its length: no two contents give the same text.
+    /// \returns the fields in sequence, each prefixed by its length, so that different contents never have
+    /// the same encoding.
     std::string encodeFields(const CallContent& content)
     {
         std::string out;
--- a/src/Crashes/CrashDetector.h
+++ b/src/Crashes/CrashDetector.h
@@ -9,51 +9,56 @@
 
 namespace robinrun {
 
-/// \brief A call that ran when its backend server ended.
+/// \brief A call that ran on a backend server when the server crashed, and so may be the cause.
 struct CrashSuspect {
     ContentId content = 0;
-    Duration runTime {}; ///< until then
-    bool hadSucceededBefore = false; ///< a call of that content has, at the same owner, a while ago
-    std::uint64_t quickHash = 0; ///< of the content
+    Duration runTime {}; ///< Until the crash.
+    bool hadSucceededBefore = false; ///< Whether a call of this content succeeded at this owner before.
+    std::uint64_t quickHash = 0; ///< Of the content.
 };
 
-/// \brief Tells at an owner whether its backend server has crashed, and which calls ran on it.
+/// \brief Detects at an owner whether its backend server has crashed, and which calls ran on it.
 ///
-/// A run that breaks shows nothing by itself: connections are reset, answers get lost, full servers hang up.
-/// The server has crashed if nothing listens at its address afterwards, or if its next life comes; it has not
-/// if it answers a request that was sent after the break. What runs at the moment of the first break is
-/// suspect, and what was cut off just before, as some servers work on after that. One life of a server
-/// crashes once. Cost: O(suspects) at a break, nothing otherwise.
+/// A broken run alone is no proof: connections are reset, answers get lost, and overloaded servers close
+/// connections. The server has crashed if nothing listens at its address afterwards, or if its next
+/// incarnation starts. It has not crashed if it answers a request that was sent after the break. The suspects
+/// are the calls that ran at the first break, and those cut off shortly before, because some servers go on
+/// with these. An incarnation of a server crashes only once. Cost: O(suspects) for a break, none otherwise.
 class CrashDetector {
 public:
-    /// A server may work on for so long at what was cut off; nearly all drop it within a round trip.
+    /// Maximum time that a server goes on with a call that was cut off; nearly all servers stop within a
+    /// round trip.
     static constexpr Duration maxWorkAfterCutOff = 500ms;
-    /// Of a server that neither answers nor refuses for so long after a break, no crash is assumed.
+    /// If a server neither answers nor refuses a connection within this time after a break, no crash is
+    /// assumed.
     static constexpr Duration breakTimeout = 5s;
 
-    /// \brief A call was cut off while it ran.
+    /// \brief Records that \a call was cut off while it ran.
     void onCallCutOff(const CrashSuspect& call, Instant now);
 
-    /// \brief A run has broken while \a running ran, the broken one among them.
+    /// \brief Records that the connection of a run broke.
+    /// \param running the calls that ran on the server, including the broken one.
     void onRunBroken(std::vector<CrashSuspect> running, Instant now);
 
-    /// \returns whether a break is not explained yet: then the server should be asked for a sign of life.
+    /// \returns whether it is open if the last break was a crash; the server should then be probed.
     bool isBreakUnexplained(Instant now) const;
 
-    /// \brief The server has answered a request that was sent at \a sentAt.
+    /// \brief Records that the server has answered a request that was sent at \a sentAt.
     void onAnswer(Instant sentAt);
 
-    /// \brief Nothing listens at the server's address. \returns the suspects if that shows a crash of this
-    /// life, and is not known yet; never an empty list.
+    /// \brief Records that the server's address refused a connection.
+    /// \returns the suspects if this reveals a crash that was not known yet; never an empty list.
     std::optional<std::vector<CrashSuspect>> onConnectionRefused(Instant now);
 
-    /// \brief The next life of the server has come: its own breaks count. \returns as refused().
+    /// \brief Records that a new incarnation of the server has started, and begins anew for this one.
+    /// \returns the suspects if this reveals a crash of the previous incarnation that was not known yet;
+    /// never an empty list.
     std::optional<std::vector<CrashSuspect>> onNewIncarnation(Instant now);
 
 private:
     struct BrokenRun {
         Instant brokenAt {};
-        std::vector<CrashSuspect> suspects;
+        std::vector<CrashSuspect> suspects; ///< Calls that ran at the break.
     };
     struct CutOffCall {
         CrashSuspect call;
@@ -62,9 +67,9 @@
 
     void forgetOldCutOffs(Instant now);
 
-    std::optional<BrokenRun> m_brokenRun;
-    std::deque<CutOffCall> m_cutOffCalls;
-    bool m_hasCrashed = false; ///< the present life's end is known
+    std::optional<BrokenRun> m_brokenRun; ///< The first break that is neither explained nor timed out.
+    std::deque<CutOffCall> m_cutOffCalls; ///< In the order of their times.
+    bool m_hasCrashed = false; ///< Whether the crash of the present incarnation is known.
 };
 
 } // namespace robinrun
--- a/src/Crashes/CrashTracker.cpp
+++ b/src/Crashes/CrashTracker.cpp
@@ -11,14 +11,15 @@
 namespace robinrun {
 namespace {
 
-    /// How long a content is held back before each trial; the last one goes on.
+    /// Delays before the trials of a held content; the last delay applies to all later trials.
     constexpr std::array<Duration, 3> trialDelays { 10min, 1h, 12h };
-    /// A strike so long after the one before is that of a trial: nothing was sent in between.
+    /// A strike that follows the previous one after a longer time came from a trial, because a held content
+    /// is not sent in between.
     constexpr Duration trialGap = trialDelays.front() / 2;
-    /// Acquittals whose reports have not come: a few of each node's last ones.
+    /// Maximum number of cleared strikes whose reports have not arrived yet: a few for each node.
     constexpr std::size_t maxEarlyAcquittals = 1024;
 
-    /// \returns how many of \a runs, given by begin and end, did not overlap with each other at most.
+    /// \returns the size of the largest subset of \a runs (begin and end in ms) in which no two overlap.
     std::size_t countDisjoint(std::vector<std::pair<std::int64_t, std::int64_t>> runs)
     {
         std::sort(runs.begin(), runs.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -33,7 +34,7 @@
         return out;
     }
 
-    /// \returns the one of \a strikes that is against \a content; null if there is none.
+    /// \returns the strike against \a content; null if there is none.
     template <class Strikes> auto* findStrike(Strikes& strikes, ContentId content)
     {
         const auto it = std::find_if(
@@ -85,7 +86,7 @@
     }
     if (!hasClearedStrike)
         return false;
-    // It has ended well: what is left against it counts as for any other.
+    // The success does not clear strikes of reports it does not name; these must still be enough for a hold.
     if (makeCandidate(acquittal.content(), true).strikeCount < m_options.strikesToHold)
         m_holds.erase(acquittal.content());
     return true;
@@ -140,7 +141,7 @@
 
 std::vector<CrashTracker::Candidate> CrashTracker::findCandidates() const
 {
-    // Of a flood of contents that are new each time hardly any has enough strikes to be looked at.
+    // Counting first keeps a flood of new contents cheap, as hardly any of these has enough strikes.
     std::unordered_map<ContentId, std::size_t> strikes;
     for (const auto& [id, report] : m_reports) {
         for (const auto& it : report.strikes)
@@ -187,7 +188,7 @@
         const auto candidates = findCandidates();
         if (candidates.empty())
             return;
-        // What never ended well goes first, then what ran at most crashes.
+        // A content that never succeeded is the likelier cause, then the one that ran at the most crashes.
         const auto isLikelierCause = [](const Candidate& a, const Candidate& b) {
             return std::make_tuple(a.hadSucceededBefore, b.strikeCount, a.content)
                 < std::make_tuple(b.hadSucceededBefore, a.strikeCount, b.content);
--- a/src/Crashes/RecentSuccesses.h
+++ b/src/Crashes/RecentSuccesses.h
@@ -8,23 +8,23 @@
 
 namespace robinrun {
 
-/// \brief Remembers which contents have ended well at one owner lately.
+/// \brief Remembers which contents succeeded recently at one owner.
 ///
-/// A table of a fixed size in which a content takes the place of another one now and then: what is forgotten
-/// makes a call look new, no worse. Cost: O(1), no memory beyond 24 KB.
+/// This is a hash table of fixed size in which a new entry replaces the one in its place. A replaced content
+/// only looks as if it had not succeeded before. Cost: O(1); 24 KB of memory.
 class RecentSuccesses {
 public:
     static constexpr std::size_t entryCount = 1024;
-    /// Calls that come again at all come again within so long.
+    /// Calls that are repeated at all are repeated within this time.
     static constexpr Duration retention = 10min;
 
-    /// \brief A call whose content hashes to \a contentHash has ended well.
+    /// \param contentHash quickHashOf() the content.
     void recordSuccess(std::uint64_t contentHash, Instant now)
     {
         m_entries[contentHash % entryCount] = { contentHash, now, true };
     }
 
-    /// \returns whether one of that content has within the memory.
+    /// \returns whether a success of the content is known that is no older than the retention time.
     bool contains(std::uint64_t contentHash, Instant now) const
     {
         const auto& it = m_entries[contentHash % entryCount];
--- a/src/Probing/ProbeBudget.cpp
+++ b/src/Probing/ProbeBudget.cpp
@@ -8,13 +8,13 @@
     : m_probeTokens(options.probesPerSecond, 1, 0, now)
     , m_slotTimeTokens(options.slotShare * options.slots, 0, 0, now)
 {
-    require(options.probesPerSecond >= 0, "ProbeBudget: rate not negative");
-    require(options.slotShare >= 0, "ProbeBudget: share of slots not negative");
+    require(options.probesPerSecond >= 0, "ProbeBudget: probesPerSecond must not be negative");
+    require(options.slotShare >= 0, "ProbeBudget: slotShare must not be negative");
 }
 
 void ProbeBudget::setOptions(Options options, Instant now)
 {
-    require(options.probesPerSecond >= 0, "ProbeBudget::setOptions: rate not negative");
+    require(options.probesPerSecond >= 0, "ProbeBudget::setOptions: probesPerSecond must not be negative");
     m_probeTokens.setRate(options.probesPerSecond, now);
     m_slotTimeTokens.setRate(options.slotShare * options.slots, now);
 }
--- a/src/Rates/CreditBorrower.cpp
+++ b/src/Rates/CreditBorrower.cpp
@@ -9,11 +9,11 @@
 namespace robinrun {
 namespace {
 
-    /// Over which the demand of a group is averaged.
+    /// Time constant of the exponentially decaying average of a group's call rate.
     constexpr double demandTimeConstantSeconds = 1;
-    /// Of what a group should hold, less than this part left is a reason to ask.
+    /// More credits are requested once less than this fraction of the target is left.
     constexpr double lowWaterFraction = 0.5;
-    /// A group with calls here holds so many for the next ones, if there are enough.
+    /// Minimum target of a group with recent calls at this node.
     constexpr std::uint32_t minHeldCredits = 2;
 
 } // namespace
@@ -214,7 +214,8 @@
 
 std::vector<CreditBorrower::LenderRequest> CreditBorrower::collectDueRequests(Instant now)
 {
-    // A lender is told of all groups together, at its time or when a call waits.
+    // One message to a lender covers all groups. It is sent when requestInterval has passed since the last
+    // one, or at once if a call waits.
     const auto accountRequests = collectAccountRequests(now);
     std::set<std::string> lenders;
     for (const auto& it : accountRequests) {
--- a/src/Rates/CreditBorrower.h
+++ b/src/Rates/CreditBorrower.h
@@ -16,117 +16,131 @@
 
 namespace robinrun {
 
-/// \brief The credits that an ingress holds, by group, and from whom it asks for more.
+/// \brief Holds the credits of an ingress by group and decides when to request more, and from which lender.
 ///
-/// It asks one lender for each group, another for each ingress, and the others only while that one lends too
-/// little or is silent. It asks ahead, so that a call finds a credit; only the first call of a group for a
-/// while waits for one. No I/O. Cost: O(parts) a call.
+/// Each group has one preferred lender at an ingress; different ingresses prefer different ones. The other
+/// lenders are used only while the preferred one lends too little or does not answer. Credits are requested
+/// in advance, so that a call usually finds one; only the first call of a group after an idle time waits for
+/// a lender. Does no I/O. Cost: O(parts) a call.
 class CreditBorrower {
 public:
-    /// \brief A credit that a call was let through for.
+    /// \brief The credit that a call was let through with.
     struct Credit {
         std::uint32_t part = 0;
-        std::uint64_t accountGeneration = 0; ///< account that it is from
+        std::uint64_t accountGeneration = 0; ///< Of the account that lent it.
         std::uint64_t number = 0;
     };
     enum class Verdict {
-        Allowed,
-        Wait, ///< a lender has been asked, or can be
-        Refused, ///< all lend too little, or none answers
+        Allowed, ///< The call has a credit.
+        Wait, ///< No credit is left, but some lender may grant one soon.
+        Refused, ///< Every lender lends too little or does not answer.
     };
     struct Decision {
         Verdict verdict = Verdict::Refused;
         Credit credit;
-        Duration retryAfter {}; ///< until more may be lent
+        Duration retryAfter {}; ///< Time until a lender may grant more.
     };
-    /// \brief What to tell the lender called \a lender.
+    /// \brief A credit request (CreditAsk in messages) and the name of the node that it is for.
     struct LenderRequest {
         std::string lender;
         proto::CreditAsk message;
     };
 
-    /// \param nodeName name of this node, which spreads ingresses over lenders.
+    /// \param nodeName name of this node; its hash selects the preferred lender of each group.
     CreditBorrower(std::string nodeName, LenderAssignment& lenderAssignment, CreditTiming timing = {});
 
-    /// \brief Lets a call of \a group through if there is a credit for it. \param partCount of the group's
-    /// rate.
+    /// \brief Takes a credit for a new call of \a group.
+    /// \param partCount number of parts that the group's rate is divided into.
     Decision acquire(const std::string& group, std::uint32_t partCount, Instant now);
 
-    /// \brief As spend(), for a call that has been told to wait, and has waited until a lender answered.
+    /// \brief Takes a credit for a call that was told to wait, after a lender has answered.
     Decision retryAcquire(const std::string& group, Instant now);
-    /// \brief As retry(), just after lenders have been asked for the call.
+    /// \brief Takes a credit for the same call right after acquire() returned Wait and requests were sent;
+    /// unlike retryAcquire(), does not count the call as waiting once more.
     Decision retryAfterRequest(const std::string& group, Instant now)
     {
         return tryAcquire(group, m_groups[group], now);
     }
 
-    /// \brief The call has run.
+    /// \brief Records that the call has run: its credit is used.
     void onCallRan(const std::string& group, const Credit& credit);
 
-    /// \brief The call was refused and has not run: its credit serves another one, if it still counts.
+    /// \brief Returns the credit of a call that has not run, so that another call can use it. Does nothing if
+    /// the credit has expired or its account was reset.
     void returnCredit(const std::string& group, const Credit& credit, Instant now);
 
-    /// \returns what to ask now, one message for each lender. What could not be sent is told to unsent().
+    /// \brief Builds the requests that are due, at most one for each lender.
+    ///
+    /// The caller sends them, and passes each one that it could not send to onRequestNotSent().
     std::vector<LenderRequest> collectDueRequests(Instant now);
     void onRequestNotSent(const LenderRequest& request);
 
-    /// \brief A lender has answered. \returns the groups that may have more than before.
+    /// \brief Adds the credits that \a lender has granted. \returns the groups whose waiting calls may retry.
     std::vector<std::string> addGrants(
         const std::string& lender, const proto::CreditGrants& grants, Instant now);
 
     std::size_t groupCount() const { return m_groups.size(); }
 
 private:
+    /// \brief Credits of one part of a group's rate. The counts are totals since the account was reset.
     struct Account {
         std::string lender;
-        std::uint64_t generation = 0;
+        std::uint64_t generation = 0; ///< `opened` in messages; 0 before the first use.
         std::uint64_t lentCredits = 0;
         std::uint64_t usedCredits = 0;
         std::uint64_t returnedCredits = 0;
-        std::deque<std::pair<std::uint64_t, Instant>>
-            unsettledCredits; ///< credits of calls that may still be refused
-        std::uint64_t pendingRequest = 0; ///< number of the one that is out; 0: none
-        Instant requestedAt {};
-        Instant confirmedAt {}; ///< when the last one that was answered was sent
-        Instant shortageUntil {}; ///< it lent too little and is not asked before
-        Instant fallbackUntil {}; ///< the others are asked too
+        /// Numbers of the credits taken by calls that may still end without having run, with the time when
+        /// each was taken.
+        std::deque<std::pair<std::uint64_t, Instant>> unsettledCredits;
+        std::uint64_t pendingRequest = 0; ///< Number of the unanswered request; 0 if there is none.
+        Instant requestedAt {}; ///< When the last request was sent.
+        Instant confirmedAt {}; ///< When the last request that the lender answered was sent.
+        Instant shortageUntil {}; ///< The lender lent too little; it is not asked for more before this time.
+        Instant fallbackUntil {}; ///< Until this time other lenders are asked as well.
         bool isUnresponsive = false;
 
+        /// \returns the credits that new calls can take.
         std::uint64_t availableCredits() const
         {
             return lentCredits - usedCredits - returnedCredits - unsettledCredits.size();
         }
+        /// \returns whether every credit that was lent has been used or returned.
         bool isSettled() const { return lentCredits == usedCredits + returnedCredits; }
     };
     struct Group {
         std::uint32_t partCount = 1;
-        std::array<Account, maxRateParts> accounts; ///< `parts` of them are used
-        double callsPerSecond = 0; ///< calls a second, as of `counted`
+        std::array<Account, maxRateParts> accounts; ///< Only the first `partCount` are in use.
+        double callsPerSecond = 0; ///< Decaying average, as of `demandUpdatedAt`.
         Instant demandUpdatedAt {};
         Instant lastCallAt {};
-        std::uint32_t waitingCalls = 0; ///< calls that came and found no credit, since the last grant
+        std::uint32_t waitingCalls = 0; ///< Calls that found no credit since the last grant.
     };
 
+    /// \returns the part whose lender this node asks first.
     std::uint32_t preferredPart(const std::string& name, const Group& group) const;
-    /// \returns whether \a credit is of an account that still stands.
+    /// \returns whether the account has not been reset since \a credit was taken from it.
     static bool isCurrent(const Account& account, const Credit& credit)
     {
         return account.generation == credit.accountGeneration;
     }
-    /// \returns the calls a second that came lately.
+    /// \returns the average call rate of the group, decayed to \a now.
     static double currentCallsPerSecond(const Group& group, Instant now);
     static void recordCall(Group& group, Instant now);
-    /// \brief Throws away what the account can no longer rely on.
+    /// \brief Resets each account whose lender has changed or whose credits have expired.
     void resetStaleAccounts(const std::string& name, Group& group, Instant now);
+    /// \brief Discards the account's credits and begins a new generation with \a lender.
     void resetAccount(Account& account, const std::string& lender);
+    /// \brief Takes a credit of any part, the preferred part first.
     Decision tryAcquire(const std::string& name, Group& group, Instant now);
+    /// \returns whether the account's lender may grant a credit while a call waits.
     bool mayLendSoon(const Account& account, Instant now) const;
-    /// \returns the credits that the group should hold here.
+    /// \returns how many credits this node should hold for the group.
     std::uint32_t targetCredits(const Group& group, Instant now) const;
     bool isRequestDue(
         const Account& account, std::uint32_t wantedCredits, std::uint32_t waitingCalls, Instant now) const;
+    /// \brief Counts credits as used if their calls have been under way for CreditTiming::settleTimeout.
     void settleOldCredits(Account& account, Instant now) const;
-    /// What the lender of one account is to be told.
+    /// \brief What a request to a lender says about one account.
     struct AccountRequest {
         const std::string* group;
         std::uint32_t part;
@@ -135,16 +149,17 @@
         std::uint32_t waitingCalls;
     };
     std::vector<AccountRequest> collectAccountRequests(Instant now);
+    /// \brief Adds \a accountRequest to the message for its lender.
     void addAccountRequest(
         std::map<std::string, LenderRequest>& out, const AccountRequest& accountRequest, Instant now);
-    /// \returns whether nothing is left to be kept of the group.
+    /// \returns whether the group has no recent calls and no unsettled credits, so that it can be dropped.
     bool isUnused(const Group& group, Instant now) const;
 
     std::string m_nodeName;
     LenderAssignment* m_lenderAssignment;
     CreditTiming m_timing;
     std::map<std::string, Group> m_groups;
-    std::map<std::string, Instant> m_lastRequestAt; ///< by lender
+    std::map<std::string, Instant> m_lastRequestAt; ///< By lender.
     std::uint64_t m_lastGeneration = 0;
     std::uint64_t m_lastCreditNumber = 0;
     std::uint64_t m_lastRequestNumber = 0;
--- a/src/Rates/CreditLender.cpp
+++ b/src/Rates/CreditLender.cpp
@@ -6,13 +6,14 @@
 namespace robinrun {
 namespace {
 
-    /// On the small side of a cut, a lender hears less than this part of the nodes.
+    /// A lender that reaches a smaller fraction of the nodes is on the minority side of a network partition.
     constexpr double majorityFraction = 0.5;
-    /// Credits in a part when its lender starts: few enough that all may start a few times in a window.
+    /// Credits of a part when its lender starts; few enough that all lenders may restart several times in a
+    /// window without exceeding the tolerance.
     constexpr double initialCredits = 1;
-    /// Of what a part can save up, kept for calls that wait.
+    /// Fraction of a part's maximum credits that is reserved for calls that wait.
     constexpr double reservedFraction = 0.3;
-    constexpr double minRatePerSecond = 1e-3; // calls a second, to divide by
+    constexpr double minRatePerSecond = 1e-3; ///< Avoids a division by zero.
 
 } // namespace
 
@@ -47,7 +48,7 @@
         return account;
     if (isNew)
         ++bucket.accountCount;
-    // What the former account still held is lost: its ingress has thrown it away.
+    // The ingress discarded the credits of the previous generation when it reset the account.
     bucket.outstandingCredits -= static_cast<double>(account.outstandingCredits());
     account = { reported.opened(), reported.used() + reported.returned(), reported.used(),
         reported.returned(), {} };
@@ -59,7 +60,7 @@
     const auto used = std::max(reported.used(), account.usedCredits);
     const auto returned = std::max(reported.returned(), account.returnedCredits);
     if (used + returned > account.lentCredits)
-        return; // nobody was lent so many
+        return; // The report is invalid: it names more credits than were lent.
     bucket.outstandingCredits
         -= static_cast<double>(used - account.usedCredits + returned - account.returnedCredits);
     bucket.availableCredits += static_cast<double>(returned - account.returnedCredits);
@@ -69,7 +70,7 @@
 
 std::uint32_t CreditLender::nextCreditDelayMs(const RatePart& part, const Bucket& bucket) const
 {
-    // All that ask have a turn before this one asks again.
+    // Every account gets one credit before this one asks again.
     const auto roundTime
         = fromSeconds(bucket.accountCount / std::max(part.creditsPerSecond, minRatePerSecond));
     const auto delay = std::clamp(roundTime, m_timing.minShortageDelay, m_timing.maxShortageDelay);
@@ -93,7 +94,7 @@
         const double missingCredits
             = std::max(double(reported.wanted()) - double(account.outstandingCredits()), 0.0);
         const double urgentCredits = std::min(missingCredits, double(reported.waiting()));
-        // What calls wait for comes before what ingresses hold for calls to come.
+        // Credits for waiting calls may use the reserve; credits in advance for later calls may not.
         const double unreservedCredits
             = std::floor(bucket.availableCredits - reservedFraction * part.maxCredits);
         const double newlyLent = std::clamp(
--- a/src/Rates/CreditLender.h
+++ b/src/Rates/CreditLender.h
@@ -12,46 +12,53 @@
 
 namespace robinrun {
 
-/// \brief Lends the credits of the parts of rates that this node is the home of.
+/// \brief Lends the credits of those parts of group rates that are assigned to this node.
 ///
-/// What is saved up in a part and what is lent out of it and not yet settled together never exceed the part's
-/// burst and grow by its rate alone. So what all ingresses use in any window is at most rate x window +
-/// burst, in whatever order their word comes. No I/O. Cost: O(log accounts) an account that asks; about 200
-/// bytes each.
+/// Each part has a token bucket. Its available credits plus its outstanding ones (lent, neither used nor
+/// returned) never exceed the part's burst and grow only at the part's rate. All ingresses together
+/// therefore use at most rate x window + burst credits in any window, also if reports are lost, repeated or
+/// reordered. Does no I/O. Cost: O(log accounts) for each account in a request; about 200 bytes for each
+/// account.
 class CreditLender {
 public:
     explicit CreditLender(RateTolerance tolerance, CreditTiming timing = {});
 
     void setTolerance(RateTolerance tolerance) { m_tolerance = tolerance; }
 
-    /// \brief An ingress tells how its account stands, and is lent what there is.
-    /// \param incarnation of the ingress; each has accounts of its own. \param rate of the group, as this
-    /// node knows it.
+    /// \brief Updates the account of an ingress from its report and lends as many credits as are available.
+    /// \param incarnation of the ingress node; each incarnation has accounts of its own.
+    /// \param reported state of the account as the ingress sees it.
+    /// \param rate of the group as configured at this node.
     proto::CreditGrant lendCredits(
-        std::uint64_t incarnation, const proto::CreditAccount& account, const GroupRate& rate, Instant now);
+        std::uint64_t incarnation, const proto::CreditAccount& reported, const GroupRate& rate, Instant now);
 
-    /// \brief Part of the nodes that this one hears. Below a half it is on the small side of a cut, where
-    /// another lender may take its place: it then lends that part of its rate.
+    /// \brief Sets the fraction of the other nodes that this node can reach.
+    ///
+    /// Below one half, this node is on the minority side of a network partition and the other side may have
+    /// assigned its parts to another lender. It then lends only this fraction of its rate.
     void setReachableFraction(double fraction) { m_reachableFraction = fraction; }
 
-    /// \brief Closes accounts that have been silent for the term; what they held is lost.
+    /// \brief Closes the accounts without a report for CreditTiming::creditLifetime; their outstanding
+    /// credits are discarded.
     void closeSilentAccounts(Instant now);
 
     std::size_t accountCount() const { return m_accounts.size(); }
-    /// \returns the credits that are out.
+    /// \returns the credits of all parts that are lent and neither used nor returned.
     double outstandingCredits() const;
 
 private:
-    using PartKey = std::pair<std::string, std::uint32_t>; ///< group, part
-    using AccountKey = std::pair<PartKey, std::uint64_t>; ///< and the ingress's life
+    using PartKey = std::pair<std::string, std::uint32_t>; ///< Group and index of the part.
+    using AccountKey = std::pair<PartKey, std::uint64_t>; ///< Part and incarnation of the ingress.
     struct Bucket {
-        double availableCredits = 0; ///< credits saved up
-        double outstandingCredits = 0; ///< and not settled
+        double availableCredits = 0;
+        double outstandingCredits = 0; ///< Lent, neither used nor returned.
         Instant refilledAt {};
         std::uint32_t accountCount = 0;
     };
+    /// \brief Credits of one part at one ingress. The counts are totals since the account was opened, so a
+    /// lost or repeated message does not change them.
     struct Account {
-        std::uint64_t generation = 0;
+        std::uint64_t generation = 0; ///< `opened` in messages; rises when the ingress resets the account.
         std::uint64_t lentCredits = 0;
         std::uint64_t usedCredits = 0;
         std::uint64_t returnedCredits = 0;
@@ -60,9 +67,13 @@
         std::uint64_t outstandingCredits() const { return lentCredits - usedCredits - returnedCredits; }
     };
 
+    /// \brief Finds or creates the bucket of a part and adds the credits gained since the last refill.
     Bucket& refillBucket(const PartKey& key, const RatePart& part, Instant now);
+    /// \brief Finds the account, or opens it if it is new or reported with a later generation.
     Account& findOrOpenAccount(const AccountKey& key, const proto::CreditAccount& reported, Bucket& bucket);
+    /// \brief Takes over the reported counts of used and returned credits.
     static void settleAccount(Account& account, const proto::CreditAccount& reported, Bucket& bucket);
+    /// \returns the delay in ms after which an ingress that was lent too little should ask again.
     std::uint32_t nextCreditDelayMs(const RatePart& part, const Bucket& bucket) const;
 
     RateTolerance m_tolerance;
--- a/src/Rates/CreditTiming.h
+++ b/src/Rates/CreditTiming.h
@@ -4,19 +4,27 @@
 
 namespace robinrun {
 
-/// \brief The times by which lenders and ingresses keep accounts of credits.
+/// \brief Intervals and timeouts of the accounts between lenders and borrowers of credits.
 struct CreditTiming {
-    Duration creditLifetime
-        = 4s; ///< credits are good for, after the last ask that was answered; then they are lost
-    Duration renewInterval = 1800ms; ///< an account that is in use is told on, in time for one lost message
-    Duration prefetchHorizon = 300ms; ///< of the calls to come, credits are held for
-    Duration idleTimeout = 3s; ///< without a call of the group, its credits are given back
-    Duration lenderTimeout = 30ms; ///< a lender that has not answered for so long counts as silent
-    Duration requestRetryInterval = 300ms; ///< a silent lender is asked again
-    Duration settleTimeout = 1s; ///< a call that is still under way counts as run
-    Duration requestInterval
-        = 300ms; ///< a lender is told on, for all groups in one message, while no call waits
-    Duration minShortageDelay = 50ms; ///< between two asks of a lender that lends too little
+    /// Credits expire this long after the last answered request was sent.
+    Duration creditLifetime = 4s;
+    /// Interval of the reports that renew an account in use; within creditLifetime it leaves room for one
+    /// lost message.
+    Duration renewInterval = 1800ms;
+    /// Credits are held for the calls expected within this time.
+    Duration prefetchHorizon = 300ms;
+    /// Credits of a group are returned after this time without a call of the group.
+    Duration idleTimeout = 3s;
+    /// A lender that has not answered a request within this time counts as unresponsive.
+    Duration lenderTimeout = 30ms;
+    /// An unanswered request is repeated after this time.
+    Duration requestRetryInterval = 300ms;
+    /// The credit of a call counts as used after this time, even if the call has not finished.
+    Duration settleTimeout = 1s;
+    /// Minimum interval between two messages to a lender while no call waits; a message covers all groups.
+    Duration requestInterval = 300ms;
+    /// Bounds of the delay before a lender that lent too little is asked again.
+    Duration minShortageDelay = 50ms;
     Duration maxShortageDelay = 1s;
 };
 
--- a/src/Rates/GroupRate.h
+++ b/src/Rates/GroupRate.h
@@ -2,10 +2,10 @@
 
 namespace robinrun {
 
-/// \brief How many calls a group may make, over all nodes together.
+/// \brief Rate limit of a calling group over all nodes together.
 struct GroupRate {
-    double callsPerSecond = 0; ///< 0: not bounded
-    double burst = 0; ///< calls on top of that
+    double callsPerSecond = 0; ///< 0 means no limit.
+    double burst = 0; ///< Calls allowed in addition to callsPerSecond x time.
 
     bool isBounded() const { return callsPerSecond > 0; }
     bool operator==(const GroupRate&) const = default;
--- a/src/Rates/GroupRateLimiter.cpp
+++ b/src/Rates/GroupRateLimiter.cpp
@@ -21,7 +21,7 @@
     if (out.verdict != CreditBorrower::Verdict::Wait)
         return out;
     sendDueRequests(now);
-    return m_borrower.retryAfterRequest(group, now); // this node itself may have lent some
+    return m_borrower.retryAfterRequest(group, now); // If this node is the lender, it has answered already.
 }
 
 proto::CreditGrants GroupRateLimiter::lendCredits(
@@ -31,7 +31,7 @@
     out.set_number(request.number());
     for (const auto& it : request.accounts()) {
         const auto rate = m_rates.find(it.group());
-        // Who knows other nodes asks another one soon.
+        // An ingress may pick the wrong lender until it knows the same nodes as this one.
         const bool isLender = it.part() < maxRateParts
             && m_lenderAssignment.lenderOf(it.group(), it.part()) == m_options.nodeName;
         if (isLender && rate != m_rates.end())
@@ -46,7 +46,7 @@
     if (groups.empty() || !m_creditsChangedHandler)
         return;
     m_creditsChangedHandler(groups, now);
-    sendDueRequests(now); // for those that wait still
+    sendDueRequests(now); // For the calls that still wait.
 }
 
 void GroupRateLimiter::tick(Instant now)
--- a/src/Rates/GroupRateLimiter.h
+++ b/src/Rates/GroupRateLimiter.h
@@ -15,19 +15,21 @@
 
 namespace robinrun {
 
-/// \brief A node's part in keeping the rates of groups over all nodes: it holds credits for its callers, and
-/// lends those that it is the home of. Messages go out through a function. \sa docs/design/rates.md
+/// \brief A node's part of the distributed limit on the rates of calling groups.
+///
+/// The node borrows credits for the calls that come in at it, and lends those that are assigned to it.
+/// Messages are sent through a function given by the caller. \sa docs/design/rates.md
 class GroupRateLimiter {
 public:
-    /// \returns whether \a message went out to the node called \a node.
+    /// \returns whether \a message was sent to the node called \a node.
     using SendFunction
         = std::function<bool(const std::string& node, proto::PeerMessage& message, Instant now)>;
-    /// \brief The groups may have credits that they had not before.
+    /// \brief Called when \a groups may have received credits.
     using CreditsChangedHandler = std::function<void(const std::vector<std::string>& groups, Instant now)>;
 
     struct Options {
-        std::string nodeName; ///< name of this one
-        std::uint64_t incarnation = 0; ///< of this one; others' lives are told by their links
+        std::string nodeName; ///< Of this node.
+        std::uint64_t incarnation = 0; ///< Of this node; those of other nodes come with their messages.
         RateTolerance tolerance;
         CreditTiming timing {};
     };
@@ -39,40 +41,46 @@
         m_creditsChangedHandler = std::move(handler);
     }
     void setTolerance(RateTolerance tolerance) { m_lender.setTolerance(tolerance); }
-    /// \brief The rates of the configuration in force, by group; others are not bounded.
+    /// \brief Sets the rates by group, of the configuration in force. Groups without an entry have no limit.
     void setRates(std::map<std::string, GroupRate> rates) { m_rates = std::move(rates); }
     void setNodes(std::vector<LenderAssignment::Node> nodes)
     {
         m_lenderAssignment.setNodes(std::move(nodes));
     }
+    /// \copydoc CreditLender::setReachableFraction
     void setReachableFraction(double fraction) { m_lender.setReachableFraction(fraction); }
 
-    /// \brief Lets a call of \a group through if there is a credit; else a lender is asked.
+    /// \brief Takes a credit for a new call of \a group; if none is left, requests more from the lenders.
     CreditBorrower::Decision acquire(const std::string& group, Instant now);
-    /// \brief The call has run.
+    /// \copydoc CreditBorrower::onCallRan
     void onCallRan(const std::string& group, const CreditBorrower::Credit& credit)
     {
         m_borrower.onCallRan(group, credit);
     }
+    /// \copydoc CreditBorrower::retryAcquire
     CreditBorrower::Decision retryAcquire(const std::string& group, Instant now)
     {
         return m_borrower.retryAcquire(group, now);
     }
-    /// \brief The call was refused and has not run.
+    /// \copydoc CreditBorrower::returnCredit
     void returnCredit(const std::string& group, const CreditBorrower::Credit& credit, Instant now)
     {
         m_borrower.returnCredit(group, credit, now);
     }
 
-    /// \brief An ingress asks. \returns what it is lent.
-    proto::CreditGrants lendCredits(std::uint64_t incarnation, const proto::CreditAsk& ask, Instant now);
-    void addGrants(const std::string& node, const proto::CreditGrants& grants, Instant now);
-    /// \brief Asks ahead and tells lenders what was used.
+    /// \brief Handles the credit request of an ingress.
+    /// \param incarnation of the ingress node.
+    /// \returns the grants of the accounts whose part this node lends.
+    proto::CreditGrants lendCredits(std::uint64_t incarnation, const proto::CreditAsk& request, Instant now);
+    /// \brief Adds the credits that the node called \a lender has granted.
+    void addGrants(const std::string& lender, const proto::CreditGrants& grants, Instant now);
+    /// \brief Closes silent accounts and sends the requests that are due. To be called periodically.
     void tick(Instant now);
 
     std::size_t groupCount() const { return m_borrower.groupCount(); }
     std::size_t accountCount() const { return m_lender.accountCount(); }
     double outstandingCredits() const { return m_lender.outstandingCredits(); }
+    /// \returns the credit requests built so far, including those to this node and those not sent.
     std::uint64_t requestCount() const { return m_requestCount; }
 
 private:
--- a/src/Rates/LenderAssignment.cpp
+++ b/src/Rates/LenderAssignment.cpp
@@ -7,8 +7,9 @@
 namespace robinrun {
 namespace {
 
-    /// Nodes with this part of the greatest capacity may lend; fewer than so many would share out too little.
+    /// Nodes with at least this fraction of the greatest capacity are candidates.
     constexpr double minCapacityFraction = 0.8;
+    /// With fewer candidates than this, all nodes become candidates, so that enough nodes share the work.
     constexpr std::size_t minCandidates = 4;
 
 } // namespace
--- a/src/Rates/RateTolerance.h
+++ b/src/Rates/RateTolerance.h
@@ -8,24 +8,27 @@
 
 namespace robinrun {
 
-/// \brief How exactly the rates of groups are kept over all nodes.
+/// \brief How far the calls of a group over all nodes may exceed the group's rate.
 struct RateTolerance {
-    Duration window = 5s; ///< any of this length counts
-    double overshootFraction = 0.1; ///< part of what a group may make in it, on top of that
-    double slackCalls = 20; ///< calls on top of that
+    Duration window = 5s; ///< The tolerance holds for every window of this length.
+    double overshootFraction = 0.1; ///< Tolerated excess, as a fraction of the calls allowed in a window.
+    double slackCalls = 20; ///< Tolerated excess in calls, in addition to the fraction.
 
-    /// \returns the most calls that a group may make in any window.
+    /// \returns the maximum number of calls that a group may make in any window.
     double maxCallsPerWindow(const GroupRate& rate) const
     {
         return (rate.callsPerSecond * toSeconds(window) + rate.burst) * (1 + overshootFraction) + slackCalls;
     }
 };
 
-/// \brief The rate of a group is divided into at most so many equal parts, each lent by a node of its own:
-/// where one is lost, three quarters are left, which is still more than what a group usually asks for.
+/// \brief Maximum number of equal parts that the rate of a group is divided into, each lent by another node.
+///
+/// With four parts, the loss of a lender leaves three quarters of the rate, which is still more than a group
+/// usually needs.
 inline constexpr std::uint32_t maxRateParts = 4;
 
-/// \returns the parts that the rate of a group is divided into. Small ones have fewer, as credits are whole.
+/// \returns the number of parts that the rate of a group is divided into. Small rates have fewer parts,
+/// because credits are whole numbers.
 inline std::uint32_t ratePartCount(const GroupRate& rate)
 {
     constexpr double smallRatePerSecond = 40;
@@ -33,13 +36,15 @@
     return rate.callsPerSecond < smallRatePerSecond ? smallRateParts : maxRateParts;
 }
 
-/// \brief One part of a group's rate, as its lender keeps it.
+/// \brief One part of a group's rate, as its lender enforces it.
 struct RatePart {
     double creditsPerSecond = 0;
-    double maxCredits = 0; ///< credits saved up and lent together, at most
+    double maxCredits = 0; ///< Maximum of available and outstanding credits together.
 
-    /// \brief What the terms allow on top is lent but for a part, which is for lenders that change and start
-    /// anew.
+    /// \brief Computes a part of \a rate.
+    ///
+    /// Only a fraction of the tolerance is lent. The rest covers the credits that are lent twice when a part
+    /// moves to another lender or a lender restarts.
     static RatePart of(const GroupRate& rate, const RateTolerance& tolerance)
     {
         constexpr double lentOvershootFraction = 0.5;
--- a/test/CrashTest.cpp
+++ b/test/CrashTest.cpp
@@ -2,20 +2,17 @@
 
 #include <catch2/catch.hpp>
 
-/// \file Requests that crash the backend servers which run them, through whole nodes.
+/// \file Tests requests that crash the backend servers which run them, with whole nodes.
 ///
-/// Seen: three waves of a day in which one kind of request was served to a quarter, because all four servers
-/// of a service ended again and again, each within seconds of its start. One request was sent to servers ten
-/// times more after three had ended under it. How it came about: the request came again with the same content
-/// at any node, under another id, and each attempt was sent to the next server that was up. Cause: what a run
-/// had done to its server was told to nobody: a broken run is retried as one that was lost, and neither the
-/// node nor its peers know the request again. Proved by: the contents of the calls that broke at the end of
-/// each server, in the owners' logs.
+/// Guards against one request that crashes all servers of a service again and again, so that most other
+/// requests fail. Such a request comes back with the same content under another id at any node, and is
+/// retried after a broken run as if its answer had been lost. Unless nodes recognize the content and share
+/// their crash reports, each attempt goes to the next server that is up.
 
 using namespace robinrun;
 using support::CrashFixture;
 
-TEST_CASE("A request under which three servers have crashed is sent no more", "[crash]")
+TEST_CASE("A request that has crashed three servers is not sent to a server again", "[crash]")
 {
     CrashFixture f;
     f.crashOnTargetSuffix("/poison");
@@ -34,7 +31,7 @@
 
 namespace {
 
-/// \returns the value of a series at a node; -1 if it has none.
+/// \returns the value of the metric \a name at a node; -1 if the node does not export it.
 double metricValue(CrashFixture& f, std::size_t node, const std::string& name)
 {
     const auto text = f.send(f.places[node].settings.listen.metrics, { "GET", "/metrics", {}, {} }).body;
@@ -42,7 +39,8 @@
     return at == std::string::npos ? -1 : std::stod(text.substr(at + name.size() + 2));
 }
 
-/// \brief Sends \a path to all nodes in turn. \returns how often it began to run at a server.
+/// \brief Requests \a path at each node in turn, \a rounds times. \returns how often it began to run at a
+/// server.
 std::size_t countRuns(CrashFixture& f, const std::string& path, std::size_t rounds)
 {
     const auto before = f.runCount(path);
@@ -53,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("A request that is held back is refused at once, with a reason and a time to come back", "[crash]")
+TEST_CASE("A held request is refused at once, with a reason and a Retry-After header", "[crash]")
 {
     CrashFixture f;
     f.crashOnTargetSuffix("/poison");
@@ -64,11 +62,11 @@
     CHECK(findHeader(reply.headers, "Robinrun-Outcome") == "not-run");
     CHECK(findHeader(reply.headers, "Robinrun-Reason") == "crashes-servers");
     const auto retryAfter = std::stod(std::string(*findHeader(reply.headers, "Retry-After")));
-    CHECK(retryAfter > 500); // ten minutes after the last crash
+    CHECK(retryAfter > 500); // The first trial is ten minutes after the last crash.
     CHECK(retryAfter <= 600);
 }
 
-TEST_CASE("Other requests of the same path and the same request elsewhere are served on", "[crash]")
+TEST_CASE("Requests that differ from a held one in their query or body are still served", "[crash]")
 {
     CrashFixture f;
     f.crashOnTargetSuffix("/poison");
@@ -88,7 +86,7 @@
     }
 }
 
-TEST_CASE("Nodes that start again, and all at once, still hold back what crashed servers before", "[crash]")
+TEST_CASE("Nodes still hold back a request after some or all of them restart", "[crash]")
 {
     CrashFixture f;
     f.crashOnTargetSuffix("/poison");
@@ -102,7 +100,7 @@
         if (!f.places[i].node)
             f.startNode(i);
     }
-    // Also before they are ready.
+    // The request is not sent before the nodes are ready either.
     CHECK(countRuns(f, "/read/poison", 3) == 0);
     f.pass(CrashFixture::maxPropagationDelay);
     for (std::size_t i = 0; i < f.places.size(); ++i)
@@ -110,7 +108,7 @@
     CHECK(countRuns(f, "/read/poison", 2) == 0);
 }
 
-TEST_CASE("A node that is new hears of crashes before it sends", "[crash]")
+TEST_CASE("A new node learns of earlier crashes before it sends requests", "[crash]")
 {
     CrashFixture f;
     f.crashOnTargetSuffix("/poison");
@@ -129,7 +127,7 @@
     CHECK(f.runCount("/read/poison") == f.crashCount());
 }
 
-TEST_CASE("Who is blamed when a server ends while calls run on it", "[crash]")
+TEST_CASE("A crash report is made only if a server ends unexpectedly while calls run on it", "[crash]")
 {
     CrashFixture f(1);
     auto& backend = *f.places[1].backend;
@@ -146,13 +144,13 @@
         f.untilServed(0);
         return metricValue(f, 0, "robinrun_crash_reports") - before;
     };
-    SECTION("it is killed: what ran there has one strike, which holds nothing back")
+    SECTION("a killed server is reported, but one strike holds back nothing")
     {
         CHECK(newReportsAfter([&] { backend.crash(); }) == 1);
         CHECK(metricValue(f, 0, "robinrun_requests_held") == 0);
         CHECK(f.call(0, "GET", "/read/harmless").status == 200);
     }
-    SECTION("connections are reset: nobody")
+    SECTION("reset connections are not reported")
     {
         CHECK(newReportsAfter([&] {
             backend.stop();
@@ -160,14 +158,14 @@
             backend.start();
         }) == 0);
     }
-    SECTION("it has said that it leaves: nobody")
+    SECTION("a server that announced its end is not reported")
     {
         CHECK(newReportsAfter([&] {
             REQUIRE(f.announce(1, "draining", 100'000) == 200);
             backend.crash();
         }) == 0);
     }
-    SECTION("the answer is lost: nobody")
+    SECTION("a lost answer is not reported")
     {
         backend.hangsUp = true;
         const auto before = metricValue(f, 0, "robinrun_crash_reports");
@@ -178,7 +176,7 @@
     }
 }
 
-TEST_CASE("A call that runs well between crashes is served on", "[crash]")
+TEST_CASE("A frequent request that succeeds between crashes is still served", "[crash]")
 {
     CrashFixture f;
     f.crashOnTargetSuffix("/poison");
@@ -199,8 +197,8 @@
     }
 }
 
-TEST_CASE("Of two that ran at the same crashes the good one is freed by its trial, the other one is held",
-    "[crash]")
+TEST_CASE(
+    "Of two requests that ran at the same crashes, a successful trial frees the harmless one", "[crash]")
 {
     CrashFixture f(1);
     f.crashOnTargetSuffix("/poison");
@@ -225,7 +223,7 @@
     CHECK(f.call(0, "GET", "/read/beside").status == 200);
     CHECK(f.call(0, "GET", "/read/beside").status == 200);
     f.pass(CrashFixture::maxPropagationDelay);
-    // With that, only the other one is left as the cause: it is not tried so soon.
+    // The other request is now the only possible cause, so its trial is later.
     CHECK(f.call(0, "GET", "/read/poison").status == 503);
     CHECK(backend.crashes == 3);
     CHECK(metricValue(f, 0, "robinrun_requests_held") == 1);
--- a/test/CrashTrackerTest.cpp
+++ b/test/CrashTrackerTest.cpp
@@ -18,9 +18,9 @@
 
 constexpr ContentId poisonContent = 7;
 constexpr ContentId otherPoisonContent = 8;
-constexpr ContentId frequentContent = 1000; ///< a call that is always in flight somewhere
+constexpr ContentId frequentContent = 1000; ///< A call that is always in flight at some server.
 constexpr ContentId slowContent = 1001;
-constexpr std::size_t maxLateRuns = 3; ///< deliveries later than the bound after the third crash
+constexpr std::size_t maxLateRuns = 3; ///< Runs later than maxPropagationDelay after the third crash.
 
 struct RunningCall {
     ContentId content = 0;
@@ -28,13 +28,13 @@
     bool hadSucceededBefore = false;
 };
 
-/// \brief One ledger and the reports that it is given, each with its own number.
+/// \brief A tracker and the reports given to it, each with a new id.
 struct TrackerFixture {
     CrashTracker tracker;
     Instant now { 1h };
     std::uint64_t lastReportId = 0;
 
-    /// \brief A server has crashed under \a running.
+    /// \brief Reports a crash of a server at which the calls \a running ran.
     void reportCrash(const std::vector<RunningCall>& running)
     {
         proto::CrashReport report;
@@ -47,7 +47,7 @@
             suspect.set_ended_well_before(it.hadSucceededBefore);
         }
         REQUIRE(tracker.addReport(report, now));
-        REQUIRE_FALSE(tracker.addReport(report, now)); // heard again
+        REQUIRE_FALSE(tracker.addReport(report, now)); // A duplicate of the report.
         tracker.updateHolds();
     }
 
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("The third crash holds a content back, and nothing else that ran there", "[crash]")
+TEST_CASE("The third crash holds back the content that ran at all three, and no other", "[crash]")
 {
     TrackerFixture f;
     for (ContentId i = 0; i < 3; ++i) {
@@ -77,7 +77,8 @@
     REQUIRE(f.tracker.holds().size() == 1);
 }
 
-TEST_CASE("Servers that fall together count once: power is lost three times, and nothing is held", "[crash]")
+TEST_CASE(
+    "Simultaneous crashes count as one strike, so that three power failures hold back nothing", "[crash]")
 {
     TrackerFixture f;
     for (int i = 0; i < 8; ++i)
@@ -94,7 +95,7 @@
     REQUIRE_FALSE(f.tracker.hasHolds());
 }
 
-TEST_CASE("A good end clears what came before it, not what comes after", "[crash]")
+TEST_CASE("A success clears the strikes before it, not later ones", "[crash]")
 {
     TrackerFixture f;
     for (int round = 0; round < 4; ++round) {
@@ -106,7 +107,7 @@
         REQUIRE(f.tracker.strikeCount(frequentContent) == 0);
         REQUIRE(f.verdict(frequentContent) == Verdict::Free);
     }
-    // From now on it has turned bad.
+    // From here on the content crashes its servers.
     for (int i = 0; i < 3; ++i) {
         f.reportCrash({ { frequentContent } });
         f.now += 1s;
@@ -114,7 +115,7 @@
     REQUIRE(f.verdict(frequentContent) == Verdict::Held);
 }
 
-TEST_CASE("What ended well before needs two strikes more, and is held all the same", "[crash]")
+TEST_CASE("A content that succeeded before is held back at the fifth strike instead of the third", "[crash]")
 {
     TrackerFixture f;
     for (int i = 0; i < 4; ++i) {
@@ -126,7 +127,7 @@
     REQUIRE(f.verdict(frequentContent) == Verdict::Held);
 }
 
-TEST_CASE("A call that is always in flight is not blamed for what another one does", "[crash]")
+TEST_CASE("A frequent content is not held back for crashes that another content causes", "[crash]")
 {
     TrackerFixture f;
     for (int i = 0; i < 12; ++i) {
@@ -138,7 +139,7 @@
 }
 
 TEST_CASE(
-    "Two that ran at the same crashes are both held and tried soon, and the good one is freed", "[crash]")
+    "Two contents that ran at the same crashes are both held, and a successful trial frees one", "[crash]")
 {
     TrackerFixture f;
     for (int i = 0; i < 3; ++i) {
@@ -158,7 +159,7 @@
     REQUIRE(f.tracker.timeUntilTrial(poisonContent, f.now) > 9min);
 }
 
-TEST_CASE("What is held back is tried again ever more rarely", "[crash]")
+TEST_CASE("The trials of a held content become rarer with each further crash", "[crash]")
 {
     TrackerFixture f;
     for (int i = 0; i < 3; ++i) {
@@ -176,7 +177,7 @@
     REQUIRE(trials == 3);
 }
 
-TEST_CASE("A release that runs it well frees a content everywhere, whatever was lost on the way", "[crash]")
+TEST_CASE("An acquittal frees a content at every node, also if it arrives before the reports", "[crash]")
 {
     TrackerFixture f;
     std::vector<proto::CrashReport> reports;
@@ -197,7 +198,7 @@
     REQUIRE(f.verdict(poisonContent) == Verdict::Held);
     REQUIRE(f.tracker.applyAcquittal(acquittal));
     REQUIRE(f.verdict(poisonContent) == Verdict::Free);
-    // A node that hears of the good end first.
+    // Another node receives the acquittal before the reports.
     CrashTracker other;
     other.applyAcquittal(acquittal);
     for (const auto& it : reports)
@@ -206,7 +207,7 @@
     REQUIRE(other.verdictOf(poisonContent, f.now) == Verdict::Free);
 }
 
-TEST_CASE("A content that ran several times at one server is cleared there as a whole", "[crash]")
+TEST_CASE("An acquittal clears all runs of a content in a report, also if it arrives first", "[crash]")
 {
     TrackerFixture f;
     proto::CrashAcquittal acquittal;
@@ -222,8 +223,7 @@
     REQUIRE_FALSE(f.tracker.hasHolds());
 }
 
-TEST_CASE(
-    "A flood of contents that are new each time keeps to the bound and frees nothing that is held", "[crash]")
+TEST_CASE("A flood of new contents stays within the bound on reports and frees no held content", "[crash]")
 {
     TrackerFixture f;
     for (int i = 0; i < 3; ++i) {
@@ -239,7 +239,7 @@
     REQUIRE(f.tracker.holds().size() == 1);
 }
 
-TEST_CASE("Nodes that know the same hold the same, in whichever order it came", "[crash]")
+TEST_CASE("Trackers with the same reports and acquittals agree, in whichever order these arrived", "[crash]")
 {
     rc::prop("order of reports and acquittals", [] {
         std::vector<proto::CrashReport> reports;
@@ -296,11 +296,11 @@
 }
 
 TEST_CASE(
-    "Of a request that crashes servers no more than the bound is sent, and others are served", "[crash]")
+    "A request that crashes servers runs only a bounded number of times, and others are served", "[crash]")
 {
     const bool isSlow = GENERATE(false, true);
     const int attempts = GENERATE(1, 2, 3);
-    rc::prop("nodes, losses, restarts, cuts and kills", [&](std::uint64_t seed) {
+    rc::prop("lost reports, node restarts, isolated nodes and killed servers", [&](std::uint64_t seed) {
         CrashModel model(seed, {});
         auto& loop = model.loop();
         const Duration duration = isSlow ? 120s : 40s;
@@ -308,7 +308,7 @@
         for (auto t = 5s + Duration(0); t < duration; t += interval) {
             loop.at(
                 Instant(t), [&model, attempts] { model.sendRequest(poisonContent, std::nullopt, attempts); });
-            // Its caller repeats it at once, at another node.
+            // The caller repeats the request at another node.
             loop.at(Instant(t + 150ms),
                 [&model, attempts] { model.sendRequest(poisonContent, std::nullopt, attempts); });
         }
@@ -323,14 +323,14 @@
             loop.at(at + 1s, [&model] { model.isolateNode(model.random().below(13), 3s); });
         }
         for (int i = 0; i < 3; ++i) {
-            // Servers that end for another cause are back before the end.
+            // Servers that are killed have restarted before the end of the run.
             const Instant at { fromSeconds(random.unit() * toSeconds(duration - 5s)) };
             loop.at(at,
                 [&model, i] { i == 0 ? model.killAllServers() : model.killServer(model.random().below(4)); });
         }
         loop.run(Instant(duration));
         const auto thirdCrash = model.thirdCrashTime(poisonContent);
-        // Where a server ended for another cause under it, it may be held after its second crash.
+        // If it also ran at a server that was killed, it may be held after crashing only two servers.
         if (thirdCrash)
             RC_ASSERT(
                 model.runsAfter(poisonContent, *thirdCrash + CrashModel::maxPropagationDelay) <= maxLateRuns);
@@ -346,9 +346,10 @@
     });
 }
 
-TEST_CASE("Two requests that crash servers side by side are both held within the bound", "[crash]")
+TEST_CASE(
+    "Two requests that crash servers at the same time each run only a bounded number of times", "[crash]")
 {
-    rc::prop("both at once", [](std::uint64_t seed) {
+    rc::prop("two crashing requests at once", [](std::uint64_t seed) {
         CrashModel model(seed, {});
         auto& loop = model.loop();
         for (auto t = 5s + Duration(0); t < 60s; t += 400ms) {
@@ -368,60 +369,61 @@
     });
 }
 
-TEST_CASE("A broken run is a crash if nothing listens afterwards, or the next life comes", "[crash]")
+TEST_CASE(
+    "A broken run is a crash if the server then refuses connections or a new incarnation starts", "[crash]")
 {
     const Instant at { 10s };
     const std::vector<CrashSuspect> running { { poisonContent, 50ms, false },
         { frequentContent, 10ms, true } };
     CrashDetector detector;
-    SECTION("refused")
+    SECTION("a refused connection after a broken run is a crash")
     {
         detector.onRunBroken(running, at);
         REQUIRE(detector.isBreakUnexplained(at + 1ms));
         const auto suspects = detector.onConnectionRefused(at + 5ms);
         REQUIRE(suspects);
         REQUIRE(suspects->size() == 2);
-        REQUIRE_FALSE(detector.onConnectionRefused(at + 6ms)); // a life crashes once
+        REQUIRE_FALSE(detector.onConnectionRefused(at + 6ms)); // An incarnation crashes once.
         REQUIRE_FALSE(detector.onNewIncarnation(at + 2s));
     }
-    SECTION("the next life")
+    SECTION("a new incarnation after a broken run is a crash")
     {
         detector.onRunBroken(running, at);
         REQUIRE(detector.onNewIncarnation(at + 2s));
     }
-    SECTION("a server that answers has only reset connections")
+    SECTION("a server that answers after the break has not crashed")
     {
         detector.onRunBroken(running, at);
-        detector.onAnswer(at - 1ms); // sent before the break: says nothing
+        detector.onAnswer(at - 1ms); // Sent before the break, so it proves nothing.
         REQUIRE(detector.isBreakUnexplained(at + 1ms));
         detector.onAnswer(at + 1ms);
         REQUIRE_FALSE(detector.isBreakUnexplained(at + 2ms));
         REQUIRE_FALSE(detector.onConnectionRefused(at + 3s));
     }
-    SECTION("a server that ends idle blames nobody")
+    SECTION("the crash of an idle server has no suspects")
     {
         REQUIRE_FALSE(detector.onConnectionRefused(at));
     }
-    SECTION("what was cut off just before may still have run")
+    SECTION("a call that was cut off shortly before is a suspect")
     {
         detector.onCallCutOff({ poisonContent, 30ms, false }, at);
         const auto suspects = detector.onConnectionRefused(at + 100ms);
         REQUIRE(suspects);
         REQUIRE(suspects->front().content == poisonContent);
     }
-    SECTION("what was cut off long before has not")
+    SECTION("a call that was cut off long before is no suspect")
     {
         detector.onCallCutOff({ poisonContent, 30ms, false }, at);
         REQUIRE_FALSE(detector.onConnectionRefused(at + 2s));
     }
-    SECTION("a break that is never explained is forgotten")
+    SECTION("a break that stays unexplained is forgotten")
     {
         detector.onRunBroken(running, at);
         REQUIRE_FALSE(detector.onConnectionRefused(at + 6s));
     }
 }
 
-TEST_CASE("Contents differ by each of their fields, and by where one ends", "[crash]")
+TEST_CASE("Content ids differ if any field or the boundary between two fields differs", "[crash]")
 {
     const CallContent content { "g", "GET", "h", "/x", "body" };
     auto other = content;
@@ -447,7 +449,7 @@
     REQUIRE(contentIdOf(content) == contentIdOf(other));
 }
 
-TEST_CASE("Good ends are remembered for a while", "[crash]")
+TEST_CASE("Successes are remembered for the retention time", "[crash]")
 {
     RecentSuccesses successes;
     const Instant at { 1h };
--- a/test/ProbeBudgetTest.cpp
+++ b/test/ProbeBudgetTest.cpp
@@ -6,9 +6,9 @@
 
 using namespace robinrun;
 
-TEST_CASE("Probes never exceed their rate or their share of slots, over any restarts", "[probing]")
+TEST_CASE("Probes never exceed their rate or their share of slot time, also over restarts", "[probing]")
 {
-    rc::prop("over random times, holds, queues and restarts", [](std::uint64_t seed) {
+    rc::prop("random times, probe durations, queues and restarts", [](std::uint64_t seed) {
         Random random(seed);
         ProbeBudget::Options options { 0.1 + random.unit() * 20, 0.001 + random.unit() * 0.02, 12 };
         Instant now {};
@@ -19,7 +19,7 @@
         for (int i = 0; i < 3000; ++i) {
             now += Duration(static_cast<std::int64_t>(random.exponential(10000)));
             if (random.chance(0.01))
-                budget = ProbeBudget(options, now); // the node restarts
+                budget = ProbeBudget(options, now); // A restart of the node.
             const auto waiting = static_cast<std::uint32_t>(random.below(3));
             if (!budget.tryStartProbe(waiting, now))
                 continue;
@@ -31,14 +31,14 @@
             longestProbeSeconds = std::max(longestProbeSeconds, slotSeconds);
             const double elapsed = toSeconds(now - Instant {});
             RC_ASSERT(startedProbes <= elapsed * options.probesPerSecond + 1 + 1e-6);
-            // Each restart may forget the debt of one probe; all others are paid for in time.
+            // Each restart may forget the slot time charged for one probe.
             RC_ASSERT(
                 totalSlotSeconds <= elapsed * options.slotShare * options.slots + 31 * longestProbeSeconds);
         }
     });
 }
 
-TEST_CASE("A changed budget is in force at once, and forgets nothing", "[probing]")
+TEST_CASE("Changed options apply at once, and slot time already spent stays counted", "[probing]")
 {
     ProbeBudget budget({ 0, 1, 12 }, {});
     REQUIRE_FALSE(budget.tryStartProbe(0, Instant(10s)));
@@ -46,11 +46,11 @@
     REQUIRE_FALSE(budget.tryStartProbe(0, Instant(10s)));
     REQUIRE(budget.tryStartProbe(0, Instant(11s)));
     budget.onProbeEnded(120ms, Instant(11s));
-    REQUIRE_FALSE(budget.tryStartProbe(0, Instant(20s))); // 12 ms of slot time a second: the debt lasts 10 s
+    REQUIRE_FALSE(budget.tryStartProbe(0, Instant(20s))); // 120 ms take 10 s to regain at 12 ms a second.
     REQUIRE(budget.tryStartProbe(0, Instant(21100ms)));
 }
 
-TEST_CASE("Under pressure no probe starts", "[probing]")
+TEST_CASE("No probe starts while calls wait or before the next token", "[probing]")
 {
     ProbeBudget budget({ 10, 1, 12 }, {});
     REQUIRE_FALSE(budget.tryStartProbe(0, {}));
--- a/test/RatesTest.cpp
+++ b/test/RatesTest.cpp
@@ -4,7 +4,8 @@
 #include <cmath>
 #include <rapidcheck/catch.h>
 
-/// \file Rates of groups over all nodes: what runs in any window, and what is refused without need.
+/// \file Tests the distributed rate limits of groups: how many calls run in any window, and how many calls
+/// below the rate are refused.
 
 using namespace robinrun;
 using support::RatesModel;
@@ -13,7 +14,7 @@
 
 constexpr std::size_t hostCount = 74;
 
-/// \brief Brings calls of groups to nodes at given rates.
+/// \brief Generates calls of groups at the nodes of a model, with exponentially distributed gaps.
 class CallGenerator {
 public:
     CallGenerator(RatesModel& model, std::uint64_t seed)
@@ -22,7 +23,8 @@
     {
     }
 
-    /// \brief Lets \a length pass with \a perSecond calls of \a group at the nodes from \a first on.
+    /// \brief Runs the model for \a length, with \a perSecond calls of \a group spread over \a count nodes
+    /// from index \a first on.
     void generate(
         const std::string& group, double perSecond, std::size_t first, std::size_t count, Duration length)
     {
@@ -46,9 +48,9 @@
 
 } // namespace
 
-TEST_CASE("No window holds more calls than the rate allows, whatever fails", "[rates]")
+TEST_CASE("A group never exceeds its tolerated rate in any window under random faults", "[rates]")
 {
-    rc::prop("losses, cuts, restarts, freezes, changed rates", [] {
+    rc::prop("message loss, partitions, restarts, frozen nodes and changing demand", [] {
         const GroupRate rate { *rc::gen::element(0.0, 2.0, 20.0, 100.0) + 0.5,
             *rc::gen::element(0.0, 2.0, 100.0) };
         const auto nodeCount = *rc::gen::inRange<std::size_t>(1, 12);
@@ -78,7 +80,7 @@
     });
 }
 
-TEST_CASE("Many restarts in a row give no second burst", "[rates]")
+TEST_CASE("Repeated restarts of all nodes do not allow another burst", "[rates]")
 {
     const GroupRate rate { 20, 20 };
     RatesModel model(8, { { "g", rate } }, 3);
@@ -92,13 +94,13 @@
     REQUIRE(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
 }
 
-TEST_CASE("Below its rate no call is refused, whether its group is large or has a call a second", "[rates]")
+TEST_CASE("Nearly no call of a group below its rate is refused, for large and small rates", "[rates]")
 {
     for (const double perSecond : { 189.0, 20.0, 1.6 }) {
         const GroupRate rate { perSecond, perSecond };
         RatesModel model(hostCount, { { "g", rate } }, 5);
         CallGenerator generator(model, 6);
-        // All of it at a few callers' hosts, as far as it is small.
+        // The calls of a small group come in at few hosts.
         const auto hostsUsed = std::clamp<std::size_t>(static_cast<std::size_t>(perSecond), 2, hostCount);
         generator.generate("g", perSecond / 1.6, 0, hostsUsed, 12s);
         const auto refusedBefore = model.refusedCounts["g"];
@@ -110,13 +112,14 @@
     }
 }
 
-TEST_CASE("A group whose calls come in at three hosts of 74, or move to others, soon has its rate", "[rates]")
+TEST_CASE(
+    "A group gets its full rate soon after its calls concentrate on few hosts or move to others", "[rates]")
 {
     const GroupRate rate { 100, 100 };
     RatesModel model(hostCount, { { "g", rate } }, 7);
     CallGenerator generator(model, 8);
     generator.generate("g", 60, 20, 50, 10s);
-    generator.generate("g", 400, 0, 3, 4s); // the burst is used up, and the change is a second old by far
+    generator.generate("g", 400, 0, 3, 4s); // Uses up the burst and lets the call rates adapt.
     auto measuredFrom = model.now;
     generator.generate("g", 400, 0, 3, 4s);
     REQUIRE(double(model.runsSince("g", measuredFrom)) >= 0.95 * 4 * rate.callsPerSecond);
@@ -127,7 +130,7 @@
     REQUIRE(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
 }
 
-TEST_CASE("One that sends many times its usual is held to its rate, and what it asks costs little", "[rates]")
+TEST_CASE("A group far above its rate is limited to it, and causes few messages", "[rates]")
 {
     const GroupRate rate { 180, 180 };
     RatesModel model(hostCount, { { "g", rate } }, 9);
@@ -137,11 +140,11 @@
     generator.generate("g", 840, 0, hostCount, 8s);
     REQUIRE(double(model.maxRunsInWindow("g")) <= model.tolerance.maxCallsPerWindow(rate));
     REQUIRE(double(model.runsSince("g", model.now - 6s)) >= 0.9 * 6 * rate.callsPerSecond);
-    // Asks and grants, of each node and second.
+    // Requests and grants per node and second.
     REQUIRE(double(model.sentMessages - sentBefore) / 8 / hostCount <= 30);
 }
 
-TEST_CASE("A lost lender costs its part until it is back, and no call waits long for it", "[rates]")
+TEST_CASE("The loss of a lender refuses few calls of a group below its rate", "[rates]")
 {
     const GroupRate rate { 100, 100 };
     RatesModel model(hostCount, { { "g", rate } }, 11);
@@ -160,7 +163,8 @@
         <= 0.05 * double(model.callCounts["g"] - callsBefore));
 }
 
-TEST_CASE("A home is the same for all that know the same nodes, and moves with its node alone", "[rates]")
+TEST_CASE(
+    "Nodes with the same view assign the same lenders, and only the parts of a lost node move", "[rates]")
 {
     LenderAssignment a;
     LenderAssignment b;
@@ -187,7 +191,7 @@
         REQUIRE((a.lenderOf(name, 0) == b.lenderOf(name, 0) || a.lenderOf(name, 0) == lostNode));
     }
     for (std::size_t i = 0; i < 8; ++i)
-        nodes[i].capacity = 5; // these have more room than the others
+        nodes[i].capacity = 5; // More capacity than the other nodes.
     b.setNodes(nodes);
     for (int g = 0; g < 40; ++g) {
         const auto& lender = b.lenderOf("g" + std::to_string(g), 1);
@@ -198,7 +202,8 @@
     REQUIRE(b.lenderOf("g0", 0).empty());
 }
 
-TEST_CASE("A lender takes no word for more than it lent, nor an old account for a new one", "[rates]")
+TEST_CASE(
+    "A lender ignores reports of more credits than it lent and reports of an earlier generation", "[rates]")
 {
     CreditLender lender { RateTolerance {} };
     const GroupRate rate { 40, 40 };
@@ -218,14 +223,14 @@
     const auto lent = lender.lendCredits(1, report(1, 0, 0, 5), rate, now).lent();
     REQUIRE(lent == 5);
     REQUIRE(lender.outstandingCredits() == 5);
-    REQUIRE(lender.lendCredits(1, report(1, 0, 9, 5), rate, now).lent() == 5); // it can't return nine
+    REQUIRE(lender.lendCredits(1, report(1, 0, 9, 5), rate, now).lent() == 5); // Only five were lent.
     REQUIRE(lender.outstandingCredits() == 5);
     REQUIRE(lender.lendCredits(1, report(1, 2, 3, 0), rate, now).lent() == 5);
     REQUIRE(lender.outstandingCredits() == 0);
     REQUIRE(lender.lendCredits(1, report(2, 0, 0, 4), rate, now).lent() == 4);
-    REQUIRE(lender.lendCredits(1, report(1, 2, 3, 9), rate, now).opened() == 2); // late on its way
+    REQUIRE(lender.lendCredits(1, report(1, 2, 3, 9), rate, now).opened() == 2); // A delayed report.
     REQUIRE(lender.outstandingCredits() == 4);
-    now += 5s; // longer than the term
+    now += 5s; // Longer than the credit lifetime.
     lender.closeSilentAccounts(now);
     REQUIRE(lender.outstandingCredits() == 0);
     REQUIRE(lender.accountCount() == 0);
--- a/test/support/CrashFixture.h
+++ b/test/support/CrashFixture.h
@@ -9,14 +9,15 @@
 
 namespace robinrun::support {
 
-/// \brief Nodes whose backend servers announce themselves by their own heartbeats, also after a crash, and
-/// requests that crash what runs them.
+/// \brief Mesh nodes whose backend servers announce themselves by heartbeats, also after a restart, and crash
+/// when they run certain requests.
 struct CrashFixture : MeshFixture {
     static constexpr Duration heartbeatInterval = 50ms;
-    /// After it all nodes in touch know what has happened; the bound of the deployments is 3 s.
+    /// After this time all connected nodes have received a crash report. The product must achieve 3 s.
     static constexpr Duration maxPropagationDelay = 1s;
 
-    /// \param shopServers backend servers of `shop`, at nodes 1 and up; node 0 is of `other`.
+    /// \param shopServers number of backend servers of service `shop`, at nodes 1 and up; node 0 is of
+    /// service `other`.
     explicit CrashFixture(std::size_t shopServers = 4)
     {
         store.put("keyed.op", "config", configuration(1));
@@ -38,7 +39,7 @@
             Timer::repeating(base.get(), heartbeatInterval, [this, i] { sendHeartbeat(i); }));
     }
 
-    /// \brief All servers of `shop` crash when they run a request whose target ends in \a suffix.
+    /// \brief Makes all servers crash when they run a request whose target ends in \a suffix.
     void crashOnTargetSuffix(const std::string& suffix)
     {
         for (auto& it : places) {
@@ -47,7 +48,6 @@
         }
     }
 
-    /// \brief Sends a request and does not wait for its answer.
     void sendWithoutWaiting(std::size_t node, const HttpRequest& request)
     {
         HttpPool::Options options;
@@ -64,7 +64,7 @@
         return out;
     }
 
-    /// \returns how often a request with \a target has begun to run.
+    /// \returns how often a request with \a target has begun to run at a server.
     std::size_t runCount(const std::string& target) const
     {
         std::size_t out = 0;
@@ -81,7 +81,7 @@
         return std::all_of(places.begin(), places.end(), [](const auto& it) { return it.backend->isUp(); });
     }
 
-    /// \brief Sends the same request to one node after the other until \a count servers have crashed.
+    /// \brief Sends the same request to each node in turn until servers have crashed \a count times in all.
     void crashServers(std::size_t count, const std::string& path)
     {
         for (std::size_t i = 0; crashCount() < count && i < 60; ++i) {
--- a/test/support/CrashModel.h
+++ b/test/support/CrashModel.h
@@ -13,23 +13,23 @@
 
 namespace robinrun::support {
 
-/// \brief Nodes with their ledgers, and servers that some requests crash, in virtual time over a network that
-/// loses news.
+/// \brief Simulates nodes with crash trackers, and servers that some requests crash, in virtual time over a
+/// network that loses messages.
 ///
-/// Reports and acquittals reach a node after a way of the network, or by the comparison that contacts make
-/// each second if they were lost. A node that starts again, or was cut off, hears all when it is back. The
-/// same seed gives the same run.
+/// A report or acquittal reaches a node after a network delay, or, if it is lost, with the comparison that
+/// nodes make every second. A node that restarts or was isolated receives everything afterwards. Runs with
+/// the same seed are identical.
 class CrashModel {
 public:
     struct Options {
         std::size_t nodeCount = 13;
         std::size_t serverCount = 4;
-        double lossProbability = 0.1; ///< of news on its first way
+        double lossProbability = 0.1; ///< Of a report or acquittal when it is first sent.
         Duration restartTime = 3s;
         Duration timeToCrash = 70ms;
     };
 
-    /// Bound of the deployments on news between nodes in touch.
+    /// Maximum time until a report reaches all connected nodes, as required of the product.
     static constexpr Duration maxPropagationDelay = 3s;
 
     CrashModel(std::uint64_t seed, Options options)
@@ -44,8 +44,8 @@
     Random& random() { return m_random; }
     Instant now() const { return m_loop.now(); }
 
-    /// \brief A request comes to a node: up to \a attempts servers run it, one after the other.
-    /// \param work how long it takes where it crashes nothing; nothing for one that crashes servers.
+    /// \brief Sends a request to a random node; up to \a attempts servers run it, one after the other.
+    /// \param work time that the request takes; std::nullopt if it crashes its server instead.
     void sendRequest(ContentId content, std::optional<Duration> work, int attempts)
     {
         const auto node = m_random.below(m_nodes.size());
@@ -53,7 +53,7 @@
         startAttempt(node, content, work, attempts);
     }
 
-    /// \brief A server ends for another cause.
+    /// \brief Ends a server for a reason other than its requests.
     void killServer(std::size_t server)
     {
         if (m_servers[server].isUp)
@@ -65,21 +65,21 @@
             killServer(i);
     }
 
-    /// \brief A node starts again: what it knew is gone, and is heard again from others or the store.
+    /// \brief Restarts a node. It loses its state and receives it again from other nodes or the store.
     void restartNode(std::size_t node)
     {
         m_nodes[node].tracker = CrashTracker();
         m_loop.after(m_random.below(300) * 1ms, [this, node] { synchronizeNode(node); });
     }
 
-    /// \brief A node hears nothing for \a duration.
+    /// \brief Keeps all messages from a node for \a duration.
     void isolateNode(std::size_t node, Duration duration)
     {
         m_nodes[node].isolatedUntil = now() + duration;
         m_loop.after(duration + 500ms, [this, node] { synchronizeNode(node); });
     }
 
-    /// \returns how often a node in touch has sent \a content to a server that began it, after \a since.
+    /// \returns the number of runs of \a content that began after \a since and were sent by a connected node.
     std::size_t runsAfter(ContentId content, Instant since) const
     {
         std::size_t out = 0;
@@ -88,7 +88,7 @@
         return out;
     }
 
-    /// \returns when \a content has crashed its third server, if it has.
+    /// \returns the time at which \a content crashed its third server, if it did.
     std::optional<Instant> thirdCrashTime(ContentId content) const
     {
         const auto it = m_crashTimes.find(content);
@@ -99,7 +99,7 @@
     std::size_t requestCount(ContentId content) { return m_requestCounts[content]; }
     std::size_t successCount(ContentId content) { return m_successCounts[content]; }
 
-    /// \returns at how many nodes \a content is held back.
+    /// \returns the number of nodes that hold back \a content.
     std::size_t holdingNodeCount(ContentId content) const
     {
         return static_cast<std::size_t>(std::count_if(m_nodes.begin(), m_nodes.end(),
@@ -161,7 +161,8 @@
     void beginRun(std::size_t server, const Run& run)
     {
         auto& state = m_servers[server];
-        const auto verdict = m_nodes[server].tracker.verdictOf(run.content, now()); // the owner's node
+        // The owner is on the host of the server.
+        const auto verdict = m_nodes[server].tracker.verdictOf(run.content, now());
         const bool isAlreadyRunning = std::any_of(state.running.begin(), state.running.end(),
             [&](const auto& it) { return it.content == run.content; });
         const bool mayTry = std::to_string(server) == *trialHostOf(run.content, hosts()) && !isAlreadyRunning;
@@ -182,7 +183,7 @@
         const auto it = std::find_if(
             state.running.begin(), state.running.end(), [&](const auto& run) { return run.id == id; });
         if (it == state.running.end())
-            return; // its server has ended under it
+            return; // The server ended during the run.
         if (!it->workTime) {
             m_crashTimes[it->content].push_back(now());
             return crashServer(server);
--- a/test/support/RatesModel.h
+++ b/test/support/RatesModel.h
@@ -13,16 +13,16 @@
 
 namespace robinrun::support {
 
-/// \brief Nodes that keep rates, in virtual time, with messages that are late, lost or cut off. Calls that
-/// are let through are noted with their time; that is all that the checks know.
+/// \brief Simulates nodes with rate limiters in virtual time, over a network that delays, loses and blocks
+/// messages. Records the time of each call that runs, for the checks of the tests.
 struct RatesModel {
     struct Node {
         std::string name;
         std::uint64_t incarnation = 0;
         std::unique_ptr<GroupRateLimiter> limiter;
-        std::deque<std::pair<Instant, std::string>>
-            waitingCalls; ///< calls that wait for a credit, until when
-        int partition = 0; ///< of a cut; only nodes of one side hear each other
+        /// Time limit and group of each call that waits for a credit.
+        std::deque<std::pair<Instant, std::string>> waitingCalls;
+        int partition = 0; ///< Only nodes of the same partition receive each other's messages.
         bool isFrozen = false;
     };
     struct Message {
@@ -57,7 +57,7 @@
             restartNode(i);
     }
 
-    /// \brief The first of the nodes have more capacity than the others, where there are many.
+    /// \returns all nodes; the first \a largeNodeCount of them have more capacity than the others.
     std::vector<LenderAssignment::Node> nodeCapacities() const
     {
         std::vector<LenderAssignment::Node> out;
@@ -66,7 +66,7 @@
         return out;
     }
 
-    /// \brief The node starts anew with nothing in memory.
+    /// \brief Restarts the node; it loses all its state.
     void restartNode(std::size_t i)
     {
         auto& node = nodes[i];
@@ -111,7 +111,7 @@
         send(message.to, message.from, answer);
     }
 
-    /// \brief A call of \a group comes to node \a i.
+    /// \brief Starts a call of \a group at node \a i.
     void startCall(std::size_t i, const std::string& group)
     {
         ++callCounts[group];
@@ -160,7 +160,7 @@
         std::erase_if(runningCalls, hasEnded);
     }
 
-    /// \brief Lets 1 ms pass.
+    /// \brief Advances the simulation by 1 ms.
     void step()
     {
         now += 1ms;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// \returns the most calls of \a group that ran in any window.
+    /// \returns the maximum number of calls of \a group that ran in any window.
     std::size_t maxRunsInWindow(const std::string& group) const
     {
         const auto found = runTimes.find(group);
@@ -206,7 +206,7 @@
         return maxRuns;
     }
 
-    /// \returns how many calls of \a group ran since \a from.
+    /// \returns the number of calls of \a group that ran since \a from.
     std::size_t runsSince(const std::string& group, Instant from) const
     {
         const auto found = runTimes.find(group);
@@ -222,8 +222,8 @@
     Duration oneWayDelay = 2ms;
     double maxJitterFraction = 0.3;
     double lossProbability = 0;
-    double refusedFraction = 0; ///< of the calls that were let through, that don't run
-    double maxRunSeconds = 0.5; ///< that calls take at most
+    double refusedFraction = 0; ///< Fraction of the calls with a credit that are refused later and don't run.
+    double maxRunSeconds = 0.5;
     std::vector<RunningCall> runningCalls;
     Instant now { 1s };
     std::vector<Node> nodes;
