--- a/bench/decisions/decisions-main.cpp
+++ b/bench/decisions/decisions-main.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-Report exampleReport(Random& random, Instant now)
+OwnerReport exampleReport(Random& random, Instant now)
 {
-    Report report;
+    OwnerReport report;
     report.load = { 12, static_cast<std::uint32_t>(random.below(13)), 0, 10ms };
-    report.heard = now;
+    report.receivedAt = now;
     return report;
 }
 
@@ -26,21 +26,21 @@
 {
     ServiceRouter router({});
     Random random(1);
-    std::vector<RouteTarget> targets;
+    std::vector<UpstreamConfig> targets;
     targets.reserve(static_cast<std::size_t>(state.range(0)));
     for (int i = 0; i < state.range(0); ++i)
         targets.push_back({ "upstream-" + std::to_string(i), 12, 1ms });
     Instant now {};
     router.setUpstreams(targets, now);
     for (const auto& it : targets) {
-        router.sent(it.name, 1);
-        router.answered(it.name, 1, exampleReport(random, now), 10ms, false, now);
+        router.onAttemptSent(it.name, 1);
+        router.onAttemptAnswered(it.name, 1, exampleReport(random, now), 10ms, false, now);
     }
     for (auto _ : state) {
         now += 100us;
-        const auto name = *router.pick({}, { 1 }, now, random);
-        router.sent(name, 1);
-        router.answered(name, 1, exampleReport(random, now), 10ms, false, now);
+        const auto name = *router.pickUpstream({}, { 1 }, now, random);
+        router.onAttemptSent(name, 1);
+        router.onAttemptAnswered(name, 1, exampleReport(random, now), 10ms, false, now);
     }
 }
 /// One call that ended, for a limit that is learnt over n slots; every fourth chooses anew.
@@ -59,11 +59,11 @@
 /// The chance of one answer to be late, and one answer learnt from.
 void judgeLateness(benchmark::State& state)
 {
-    LateChance chance;
+    LatenessEstimate chance;
     Random random(1);
     for (auto _ : state) {
-        chance.took(Duration(50000 + random.below(100000)), 100ms);
-        benchmark::DoNotOptimize(chance.of(100ms, 150ms));
+        chance.addResponse(Duration(50000 + random.below(100000)), 100ms);
+        benchmark::DoNotOptimize(chance.lateProbability(100ms, 150ms));
     }
 }
 
--- a/bench/policy/PolicyRun.cpp
+++ b/bench/policy/PolicyRun.cpp
@@ -9,15 +9,15 @@
     constexpr Duration drainRejects = 2s;
     constexpr double errorSampleWeight = 0.05;
 
-    ServiceRouter::Options routerOptions(ChoiceKind kind, bool hedges)
+    ServiceRouter::Options routerOptions(ChoicePolicyKind kind, bool hedges)
     {
         ServiceRouter::Options options;
-        options.kind = kind;
-        options.hedges = hedges;
-        if (kind != ChoiceKind::ExpectedDelay) {
+        options.policyKind = kind;
+        options.sendsHedges = hedges;
+        if (kind != ChoicePolicyKind::ExpectedDelay) {
             // Baselines choose by their own rule alone.
-            options.ejection.errorShare = 2;
-            options.hedges = false;
+            options.ejection.maxErrorShare = 2;
+            options.sendsHedges = false;
         }
         return options;
     }
@@ -33,7 +33,7 @@
 } // namespace
 
 PolicyRun::PolicyRun(
-    const Deployment& deployment, const Scenario& scenario, ChoiceKind kind, std::uint64_t seed)
+    const Deployment& deployment, const Scenario& scenario, ChoicePolicyKind kind, std::uint64_t seed)
     : m_deployment(deployment)
     , m_scenario(scenario)
     , m_kind(kind)
@@ -55,7 +55,7 @@
         const auto hall = i % deployment.halls;
         m_ingresses.push_back(std::make_unique<Ingress>(Ingress {
             hall, ServiceRouter(routerOptions(kind, deployment.hedges)), Random(seed * 10 + i), false }));
-        std::vector<RouteTarget> targets;
+        std::vector<UpstreamConfig> targets;
         for (const auto& it : m_upstreams)
             targets.push_back({ it->name, deployment.slots, 2 * oneWay(hall, it->hall) });
         m_ingresses.back()->router.setUpstreams(targets, m_loop.now());
@@ -129,7 +129,7 @@
     call.deadline = m_loop.now() + m_deployment.deadline;
     m_calls.emplace(id, std::move(call));
     m_tally.groups[group].demand += m_deployment.meanService;
-    m_ingresses[ingress]->router.firstAttempt(group);
+    m_ingresses[ingress]->router.recordFirstAttempt(group);
     m_loop.after(m_deployment.deadline, [this, id] { deadlineReached(id); });
     proceed(id);
 }
@@ -138,7 +138,7 @@
 {
     auto& call = m_calls.at(callId);
     auto& ingress = *m_ingresses[call.ingress];
-    const auto name = ingress.router.pick(call.tried, { call.group }, m_loop.now(), ingress.random);
+    const auto name = ingress.router.pickUpstream(call.tried, { call.group }, m_loop.now(), ingress.random);
     if (!name)
         return finish(callId, call.hasFailed ? End::Failed : End::Refused, {});
     send(callId, m_upstreamByName.at(*name));
@@ -153,7 +153,7 @@
     m_attempts[attemptId] = { callId, upstream, {}, false, false };
     call.out.push_back(attemptId);
     call.tried.push_back(target.name);
-    const auto elsewhere = ingress.router.sent(target.name, call.group);
+    const auto elsewhere = ingress.router.onAttemptSent(target.name, call.group);
     m_loop.after(oneWay(ingress.hall, target.hall), [this, attemptId, elsewhere, deadline = call.deadline] {
         takeAtOwner(attemptId, elsewhere, deadline);
     });
@@ -162,7 +162,7 @@
 }
 
 void PolicyRun::takeAnswer(
-    std::uint64_t attemptId, const Report& report, End end, Reason reason, Duration held, bool isLeaving)
+    std::uint64_t attemptId, const OwnerReport& report, End end, Reason reason, Duration held, bool isLeaving)
 {
     const auto& attempt = m_attempts.at(attemptId);
     const auto found = m_calls.find(attempt.call);
@@ -174,10 +174,10 @@
     auto& ingress = *m_ingresses[call.ingress];
     const auto& name = m_upstreams[attempt.upstream]->name;
     const bool isFailure = end == End::Failed || reason == Reason::BackendUnreachable;
-    ingress.router.answered(name, call.group, report, held, isFailure, m_loop.now());
+    ingress.router.onAttemptAnswered(name, call.group, report, held, isFailure, m_loop.now());
     ingress.router.setLeaving(name, isLeaving, m_loop.now());
     if (end == End::Answered) {
-        ingress.router.measuredLatency(m_loop.now() - call.arrived);
+        ingress.router.recordCallLatency(m_loop.now() - call.arrived);
         return finish(attempt.call, End::Answered, held);
     }
     call.hasFailed = call.hasFailed || end == End::Failed;
@@ -193,7 +193,7 @@
     if (isFree)
         return proceed(callId);
     if (call.attemptsLeft > 1
-        && ingress.router.trySpendRetry(call.group, RetryClaim::Outside, m_loop.now())) {
+        && ingress.router.trySpendRetry(call.group, RetryPriority::Outside, m_loop.now())) {
         --call.attemptsLeft;
         ++m_tally.retries;
         return proceed(callId);
@@ -210,11 +210,11 @@
     auto& ingress = *m_ingresses[call.ingress];
     if (std::find(call.out.begin(), call.out.end(), attemptId) == call.out.end())
         return;
-    ingress.router.attemptTimedOut(m_upstreams[m_attempts.at(attemptId).upstream]->name, m_loop.now());
+    ingress.router.onAttemptLate(m_upstreams[m_attempts.at(attemptId).upstream]->name, m_loop.now());
     if (call.attemptsLeft <= 1)
         return;
-    const auto name = ingress.router.pick(call.tried, { call.group }, m_loop.now(), ingress.random);
-    if (!name || !ingress.router.trySpendRetry(call.group, RetryClaim::Outside, m_loop.now()))
+    const auto name = ingress.router.pickUpstream(call.tried, { call.group }, m_loop.now(), ingress.random);
+    if (!name || !ingress.router.trySpendRetry(call.group, RetryPriority::Outside, m_loop.now()))
         return;
     --call.attemptsLeft;
     ++m_tally.hedges;
@@ -228,7 +228,7 @@
         return;
     auto& call = found->second;
     for (const auto id : call.out)
-        m_ingresses[call.ingress]->router.lost(
+        m_ingresses[call.ingress]->router.onAttemptLost(
             m_upstreams[m_attempts.at(id).upstream]->name, call.group, m_loop.now());
     finish(callId, End::Failed, {});
 }
@@ -239,7 +239,7 @@
     auto& ingress = *m_ingresses[call.ingress];
     for (const auto id : call.out) {
         const auto& upstream = *m_upstreams[m_attempts.at(id).upstream];
-        ingress.router.abandoned(upstream.name, call.group);
+        ingress.router.onAttemptAbandoned(upstream.name, call.group);
         m_loop.after(
             oneWay(ingress.hall, upstream.hall), [this, id, who = std::pair(call.ingress, call.group)] {
                 auto& owner = *m_upstreams[m_attempts.at(id).upstream];
--- a/bench/policy/PolicyRun.h
+++ b/bench/policy/PolicyRun.h
@@ -23,7 +23,8 @@
 /// servers.
 class PolicyRun {
 public:
-    PolicyRun(const Deployment& deployment, const Scenario& scenario, ChoiceKind kind, std::uint64_t seed);
+    PolicyRun(
+        const Deployment& deployment, const Scenario& scenario, ChoicePolicyKind kind, std::uint64_t seed);
     RunTally run();
 
 private:
@@ -76,24 +77,24 @@
     void runAt(std::size_t upstream, std::uint64_t attemptId);
     void endedAt(std::uint64_t attemptId, FakeBackend::Run run);
     void answer(std::uint64_t attemptId, End end, Reason reason, Duration held);
-    void takeAnswer(
-        std::uint64_t attemptId, const Report& report, End end, Reason reason, Duration held, bool isLeaving);
+    void takeAnswer(std::uint64_t attemptId, const OwnerReport& report, End end, Reason reason, Duration held,
+        bool isLeaving);
     void cancel(std::uint64_t attemptId);
     void attemptTimedOut(std::uint64_t callId, std::uint64_t attemptId);
     void deadlineReached(std::uint64_t callId);
     void tryAgainOrEnd(std::uint64_t callId, End end, bool isFree);
     void finish(std::uint64_t callId, End end, Duration held);
     void probeTick(std::size_t upstream);
-    Report reportOf(std::size_t upstream, std::uint32_t ingress, std::uint32_t group);
+    OwnerReport reportOf(std::size_t upstream, std::uint32_t ingress, std::uint32_t group);
     Duration oneWay(std::uint32_t hallA, std::uint32_t hallB) const;
-    bool isOwn() const { return m_kind == ChoiceKind::ExpectedDelay; }
+    bool isOwn() const { return m_kind == ChoicePolicyKind::ExpectedDelay; }
 
     /// How often each owner looks whether its budget allows a probe.
     static constexpr Duration probeEvery = 100ms;
 
     Deployment m_deployment;
     Scenario m_scenario;
-    ChoiceKind m_kind;
+    ChoicePolicyKind m_kind;
     VirtualLoop m_loop;
     std::vector<std::unique_ptr<Ingress>> m_ingresses;
     std::vector<std::unique_ptr<Upstream>> m_upstreams;
--- a/bench/policy/PolicyRunOwners.cpp
+++ b/bench/policy/PolicyRunOwners.cpp
@@ -72,20 +72,20 @@
     act(index, next);
 }
 
-Report PolicyRun::reportOf(std::size_t index, std::uint32_t ingress, std::uint32_t group)
+OwnerReport PolicyRun::reportOf(std::size_t index, std::uint32_t ingress, std::uint32_t group)
 {
     auto& upstream = *m_upstreams[index];
-    Report report;
+    OwnerReport report;
     report.load = upstream.admission.loadFor(group, m_loop.now());
-    report.queued = upstream.admission.load(m_loop.now()).waiting;
-    report.yours = upstream.inHand[{ ingress, group }];
+    report.queuedCalls = upstream.admission.load(m_loop.now()).waiting;
+    report.callsOfThisIngress = upstream.inHand[{ ingress, group }];
     report.errorShare = upstream.errors.value();
     const bool lies = m_scenario.has(ScenarioKind::LyingLoad) && index == 0 && !isOwn();
     if (lies) {
         // Baselines know load from the server's own endpoint; robinrun never asks it.
         report.load.inUse = 0;
         report.load.waiting = 0;
-        report.queued = 0;
+        report.queuedCalls = 0;
         report.load.service = m_deployment.meanService / 10;
     }
     return report;
@@ -107,7 +107,7 @@
     const bool isLeaving = upstream.admission.isLeaving();
     m_loop.after(oneWay(m_ingresses[ingress]->hall, upstream.hall), [=, this] {
         auto heard = report;
-        heard.heard = m_loop.now();
+        heard.receivedAt = m_loop.now();
         takeAnswer(attemptId, heard, end, reason, held, isLeaving);
     });
 }
--- a/bench/policy/policy-main.cpp
+++ b/bench/policy/policy-main.cpp
@@ -3,7 +3,7 @@
 #include "OracleRun.h"
 #include "PolicyRun.h"
 
-#include "Routing/Choice.h"
+#include "Routing/ChoicePolicy.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -22,7 +22,7 @@
 struct Options {
     std::string deployment;
     std::optional<ScenarioKind> scenario;
-    std::optional<ChoiceKind> policy;
+    std::optional<ChoicePolicyKind> policy;
     double probesPerSecond = -1;
     std::uint64_t seed = usualSeed;
     bool hedges = true;
@@ -74,8 +74,8 @@
     return buf;
 }
 
-void runOne(
-    const Deployment& deployment, ScenarioKind kind, ChoiceKind policy, double oracleP99, std::uint64_t seed)
+void runOne(const Deployment& deployment, ScenarioKind kind, ChoicePolicyKind policy, double oracleP99,
+    std::uint64_t seed)
 {
     const auto scenario = makeScenario(kind, false);
     const auto tally = PolicyRun(deployment, scenario, policy, seed).run();
@@ -114,8 +114,8 @@
                 continue;
             const auto scenario = makeScenario(kind, false);
             const auto oracle = figuresOf(OracleRun(deployment, scenario, options.seed).run(), scenario);
-            for (std::size_t p = 0; p < countOf<ChoiceKind>(); ++p) {
-                const auto policy = static_cast<ChoiceKind>(p);
+            for (std::size_t p = 0; p < countOf<ChoicePolicyKind>(); ++p) {
+                const auto policy = static_cast<ChoicePolicyKind>(p);
                 if (!options.policy || policy == *options.policy)
                     runOne(deployment, kind, policy, oracle.p99, options.seed);
             }
@@ -144,7 +144,7 @@
             isGood = isGood && options.scenario;
             break;
         case 'p':
-            options.policy = parseEnum<ChoiceKind>(optarg);
+            options.policy = parseEnum<ChoicePolicyKind>(optarg);
             isGood = isGood && options.policy;
             break;
         case 'r':
--- a/bench/shared/SharedRun.cpp
+++ b/bench/shared/SharedRun.cpp
@@ -37,8 +37,8 @@
     Ingress ingress { hall, {}, Random(seed) };
     for (std::size_t service = 0; service < classNames.size(); ++service) {
         ServiceRouter::Options routing;
-        routing.kind = m_options.kind;
-        std::vector<RouteTarget> targets;
+        routing.policyKind = m_options.kind;
+        std::vector<UpstreamConfig> targets;
         for (const auto& it : m_upstreams) {
             const bool isFar = it.hall != hall;
             if (it.service == service)
@@ -99,7 +99,7 @@
     return id;
 }
 
-RouteNeeds SharedRun::needsOf(const Call& call) const
+CallProfile SharedRun::needsOf(const Call& call) const
 {
     const auto left = std::max(call.target - (m_loop.now() - call.arrived), Duration(1));
     return { group, classNames[call.service], left };
@@ -110,16 +110,16 @@
     auto& call = m_calls.at(id);
     auto& ingress = m_ingresses[call.ingress];
     auto& router = ingress.routers[call.service];
-    const auto name = router.pick(call.tried, needsOf(call), m_loop.now(), ingress.random);
+    const auto name = router.pickUpstream(call.tried, needsOf(call), m_loop.now(), ingress.random);
     if (!name)
         return finish(id, Reason::NoUpstream);
     if (std::find(call.busy.begin(), call.busy.end(), *name) != call.busy.end())
         call.asksLeft = 0;
     call.upstream = m_byName.at(*name);
-    call.slowdownWhenSent = router.slowdownOf(*name);
+    call.slowdownWhenSent = router.reportedSlowdown(*name);
     call.sent = m_loop.now();
-    call.expected = router.expectedAt(*name, needsOf(call), m_loop.now());
-    router.sent(*name, group);
+    call.expected = router.expectedResponseTime(*name, needsOf(call), m_loop.now());
+    router.onAttemptSent(*name, group);
     const auto hall = m_upstreams[call.upstream].hall;
     m_tally.far += hall != ingress.hall;
     ++m_tally.messages;
@@ -190,11 +190,11 @@
     act(m_upstreams[upstream].admission.finished(id, end, m_loop.now()));
 }
 
-Report SharedRun::reportOf(const Upstream& upstream) const
+OwnerReport SharedRun::reportOf(const Upstream& upstream) const
 {
-    Report report;
+    OwnerReport report;
     report.load = upstream.admission.load(m_loop.now());
-    report.queued = report.load.waiting;
+    report.queuedCalls = report.load.waiting;
     return report;
 }
 
@@ -208,18 +208,18 @@
         [this, id, report = reportOf(upstream), reason, held] { takeAnswer(id, report, reason, held); });
 }
 
-void SharedRun::takeAnswer(CallId id, const Report& report, Reason reason, Duration held)
+void SharedRun::takeAnswer(CallId id, const OwnerReport& report, Reason reason, Duration held)
 {
     const auto& call = m_calls.at(id);
     auto& router = m_ingresses[call.ingress].routers[call.service];
     const auto& name = m_upstreams[call.upstream].name;
     auto heard = report;
-    heard.heard = m_loop.now();
-    router.answered(name, group, heard, held, false, m_loop.now());
+    heard.receivedAt = m_loop.now();
+    router.onAttemptAnswered(name, group, heard, held, false, m_loop.now());
     if (reason != Reason::None && reason != Reason::BackendFailed)
         return refused(id, reason);
-    router.measuredWork(classNames[call.service], held, call.slowdownWhenSent);
-    router.took(classNames[call.service], m_loop.now() - call.sent, call.expected);
+    router.recordSlotTime(classNames[call.service], held, call.slowdownWhenSent);
+    router.recordResponseTime(classNames[call.service], m_loop.now() - call.sent, call.expected);
     finish(id, std::nullopt);
 }
 
@@ -287,9 +287,9 @@
         m_loop.after(
             oneWay(ingress.hall, upstream.hall), [this, &ingress, index, report = reportOf(upstream)] {
                 auto heard = report;
-                heard.heard = m_loop.now();
+                heard.receivedAt = m_loop.now();
                 const auto& told = m_upstreams[index];
-                ingress.routers[told.service].heard(told.name, heard, m_loop.now());
+                ingress.routers[told.service].onLoadReport(told.name, heard, m_loop.now());
             });
     }
 }
--- a/bench/shared/SharedRun.h
+++ b/bench/shared/SharedRun.h
@@ -31,7 +31,7 @@
 class SharedRun {
 public:
     struct Options {
-        ChoiceKind kind = ChoiceKind::Timely;
+        ChoicePolicyKind kind = ChoicePolicyKind::Timely;
         News news = News::ToldAndAsked;
         double load = 0.75; ///< of the capacity at full use of all slots
         LimitKind limit = LimitKind::Learnt; ///< on the calls that an owner runs at once
@@ -91,7 +91,7 @@
     void workDone(CallId id);
     void ended(CallId id);
     void answer(CallId id, Reason reason);
-    void takeAnswer(CallId id, const Report& report, Reason reason, Duration held);
+    void takeAnswer(CallId id, const OwnerReport& report, Reason reason, Duration held);
     void refused(CallId id, Reason reason);
     void finish(CallId id, std::optional<Reason> refusal);
     /// \brief The owner hears how fast its server is now.
@@ -99,8 +99,8 @@
     /// \brief The owner's timed work.
     void tick(std::size_t upstream);
     void tell(std::size_t upstream);
-    Report reportOf(const Upstream& upstream) const;
-    RouteNeeds needsOf(const Call& call) const;
+    OwnerReport reportOf(const Upstream& upstream) const;
+    CallProfile needsOf(const Call& call) const;
     bool asks() const { return m_options.news == News::Asked || m_options.news == News::ToldAndAsked; }
     bool tells() const { return m_options.news == News::Told || m_options.news == News::ToldAndAsked; }
     Duration oneWay(std::uint32_t hallA, std::uint32_t hallB) const;
--- a/bench/shared/shared-main.cpp
+++ b/bench/shared/shared-main.cpp
@@ -3,7 +3,7 @@
 
 #include "SharedRun.h"
 
-#include "Routing/Choice.h"
+#include "Routing/ChoicePolicy.h"
 
 #include <cstdio>
 #include <cstdlib>
@@ -50,8 +50,9 @@
     usual.load = load;
     usual.seed = seed;
     std::vector<SharedRun::Options> out;
-    for (const auto kind : { ChoiceKind::Random, ChoiceKind::RoundRobin, ChoiceKind::LeastInFlight,
-             ChoiceKind::PowerOfTwo, ChoiceKind::ExpectedDelay }) {
+    for (const auto kind :
+        { ChoicePolicyKind::Random, ChoicePolicyKind::RoundRobin, ChoicePolicyKind::LeastInFlight,
+            ChoicePolicyKind::PowerOfTwo, ChoicePolicyKind::ExpectedDelay }) {
         auto it = usual;
         it.kind = kind;
         it.news = News::Answers;
--- a/bench/state/state-main.cpp
+++ b/bench/state/state-main.cpp
@@ -152,14 +152,14 @@
 {
     measure("upstream of a service in use at an ingress", { 300, 600, 1200 }, [](int n) {
         auto router = std::make_shared<ServiceRouter>(ServiceRouter::Options {});
-        std::vector<RouteTarget> targets;
+        std::vector<UpstreamConfig> targets;
         targets.reserve(static_cast<std::size_t>(n));
         for (int i = 0; i < n; ++i)
             targets.push_back({ "service-1-upstream-" + std::to_string(i), 12, 1ms });
         router->setUpstreams(targets, {});
         for (const auto& it : targets) {
-            router->sent(it.name, 1);
-            router->answered(it.name, 1, {}, 10ms, false, {});
+            router->onAttemptSent(it.name, 1);
+            router->onAttemptAnswered(it.name, 1, {}, 10ms, false, {});
         }
         return router;
     });
--- a/src/Mesh/MeshNodeLife.cpp
+++ b/src/Mesh/MeshNodeLife.cpp
@@ -1,6 +1,6 @@
 #include "Core/Log.h"
 #include "Mesh/MeshNode.h"
-#include "Routing/RetryPlan.h"
+#include "Routing/NodeRetryBounds.h"
 
 #include <algorithm>
 #include <utility>
@@ -132,7 +132,7 @@
     auto resources = m_config.current()->resources;
     for (auto& it : resources) {
         if (it.has_service())
-            it.mutable_service()->set_retry_fraction(plannedRetryFraction(m_context.settings.retries.ratio));
+            it.mutable_service()->set_retry_fraction(nodeRetryFraction(m_context.settings.retries.ratio));
     }
     m_context.directory.rebuild(resources);
     m_context.configVersion = m_config.version();
@@ -165,8 +165,8 @@
 {
     // A node that knows few others yet would take most of the slack for itself, at each of its starts.
     if (!m_nodesFeed->isCaughtUp())
-        return leastRetryBurst;
-    return plannedRetryBurst(m_context.settings.retries.slack, m_registry.nodes().size());
+        return minRetryBurst;
+    return nodeRetryBurst(m_context.settings.retries.slack, m_registry.nodes().size());
 }
 
 void MeshNode::noteStandstill()
--- a/src/Node/CallRequest.cpp
+++ b/src/Node/CallRequest.cpp
@@ -45,7 +45,7 @@
     class Parser {
     public:
         Parser(const HttpRequest& request, Directory& directory, const CallHeaders& names,
-            WeightedTurns& turns, const CallerContext& caller)
+            WeightedRoundRobin& turns, const CallerContext& caller)
             : m_request(request)
             , m_directory(directory)
             , m_names(names)
@@ -203,7 +203,7 @@
             m_out.attempts = route->attempts;
             if (route->isWithheld)
                 return route;
-            m_out.service = m_turns.next(route->callClass.name, route->split);
+            m_out.service = m_turns.nextTarget(route->callClass.name, route->split);
             return m_directory.service(m_out.service) ? route : nullptr;
         }
 
@@ -281,7 +281,7 @@
         const HttpRequest& m_request;
         Directory& m_directory;
         const CallHeaders& m_names;
-        WeightedTurns& m_turns;
+        WeightedRoundRobin& m_turns;
         const CallerContext& m_caller;
         CallRequest m_out;
     };
@@ -289,7 +289,7 @@
 } // namespace
 
 Result<CallRequest, CallRequestError> CallRequest::parse(const HttpRequest& request, Directory& directory,
-    const CallHeaders& names, WeightedTurns& turns, const CallerContext& caller)
+    const CallHeaders& names, WeightedRoundRobin& turns, const CallerContext& caller)
 {
     return Parser(request, directory, names, turns, caller).parse();
 }
--- a/src/Node/CallRequest.h
+++ b/src/Node/CallRequest.h
@@ -8,7 +8,7 @@
 #include "Once/Ticket.h"
 #include "Queueing/Refusal.h"
 #include "Rates/GroupRate.h"
-#include "Routing/WeightedTurns.h"
+#include "Routing/WeightedRoundRobin.h"
 
 #include <cstdint>
 #include <optional>
@@ -68,7 +68,7 @@
     /// \brief Reads \a request. Errors: unknown credential, service or route, fields that make no sense.
     /// \param turns whose turn it is where a route is split; moves on.
     static Result<CallRequest, CallRequestError> parse(const HttpRequest& request, Directory& directory,
-        const CallHeaders& names, WeightedTurns& turns, const CallerContext& caller = {});
+        const CallHeaders& names, WeightedRoundRobin& turns, const CallerContext& caller = {});
 };
 
 /// \returns the one credential that \a request gives by the rules of \a names; nothing if it gives none, or
--- a/src/Node/Ingress.cpp
+++ b/src/Node/Ingress.cpp
@@ -137,7 +137,7 @@
 
 void Ingress::letIn(CallId id, Call& call, Instant now)
 {
-    m_routers.at(call.request.service)->firstAttempt(call.request.groupNumber);
+    m_routers.at(call.request.service)->recordFirstAttempt(call.request.groupNumber);
     call.isMinting = call.request.key || call.request.wantsTicket;
     step(call, call.request.key ? CallEvent::NeedsClaim : CallEvent::NeedsNoClaim);
     // Its caller may have left meanwhile, which the next turn of the loop shows.
@@ -153,7 +153,7 @@
     if (!parent)
         return false;
     double usual = 0;
-    for (const auto& [service, calls] : m_nestedCalls.of(parent->call_class()))
+    for (const auto& [service, calls] : m_nestedCalls.meanCounts(parent->call_class()))
         usual += calls.value();
     return usual > 0 && m_owner->nestedCalls(parentId) >= usual;
 }
@@ -169,7 +169,9 @@
         return maxNestedAsks;
     if (!experiments.isOn(Mechanism::AskWhereWorth))
         return maxAsks;
-    return m_routers.at(call.request.service)->askWorth().asks(maxAsks, m_context->random);
+    return m_routers.at(call.request.service)
+        ->immediateAttemptPolicy()
+        .attemptsForNextCall(maxAsks, m_context->random);
 }
 
 void Ingress::noteRoute(Call& call, Instant now) const
@@ -237,8 +239,8 @@
             continue;
         }
         // The message could not go out, so it costs no attempt.
-        router.sent(*upstream, call.request.groupNumber);
-        router.lost(*upstream, call.request.groupNumber, now);
+        router.onAttemptSent(*upstream, call.request.groupNumber);
+        router.onAttemptLost(*upstream, call.request.groupNumber, now);
         call.tried.push_back(*upstream);
     }
     // Lost where there was no other, it may go to the next life of the same backend server.
@@ -257,7 +259,7 @@
     auto excluded = call.tried;
     excluded.insert(excluded.end(), connecting.begin(), connecting.end());
     excludeOtherRegions(call, excluded);
-    auto upstream = router.pick(excluded, needsOf(call, now), now, m_context->random);
+    auto upstream = router.pickUpstream(excluded, needsOf(call, now), now, m_context->random);
     // Better than any other although it is busy: the call may wait there.
     if (upstream && std::find(call.busy.begin(), call.busy.end(), *upstream) != call.busy.end())
         call.asksLeft = 0;
@@ -325,12 +327,13 @@
     return true;
 }
 
-RouteNeeds Ingress::needsOf(const Call& call, Instant now) const
+CallProfile Ingress::needsOf(const Call& call, Instant now) const
 {
     const auto& callClass = call.request.callClass;
-    RouteNeeds needs { call.request.groupNumber, callClass.name, {}, m_callBytes.relative(callClass.name) };
+    CallProfile needs { call.request.groupNumber, callClass.name, {},
+        m_callBytes.relativeBytes(callClass.name) };
     if (callClass.targetLatency > Duration::zero())
-        needs.targetLatency = std::max(callClass.targetLatency - (now - call.arrived), Duration(1));
+        needs.remainingTargetLatency = std::max(callClass.targetLatency - (now - call.arrived), Duration(1));
     return needs;
 }
 
@@ -338,7 +341,7 @@
 {
     const auto& callClass = call.request.callClass;
     if (callClass.targetLatency > Duration::zero()) {
-        const double work = toSeconds(router.usualWork(callClass.name, callClass.targetLatency));
+        const double work = toSeconds(router.expectedSlotTime(callClass.name, callClass.targetLatency));
         const double latest = toSeconds(callClass.targetLatency) - secondAttemptWorks * work;
         return fromSeconds(std::max(latest, leastPatienceWorks * work));
     }
@@ -354,7 +357,7 @@
 void Ingress::noteChoice(Call& call, const std::string& upstream, std::uint64_t attempt, Instant now)
 {
     auto& router = *m_routers.at(call.request.service);
-    const auto* view = router.find(upstream);
+    const auto* view = router.findView(upstream);
     RequestTrail::Entry entry { RequestEvent::UpstreamChosen, now, upstream, attempt };
     entry.numbers
         = { { "left_ms", (call.deadline - now).count() / 1000 }, { "attempts_left", call.attemptsLeft },
@@ -365,9 +368,9 @@
     }
     if (view && view->report()) {
         const auto& report = *view->report();
-        entry.numbers.emplace_back("news_age_ms", (now - report.heard).count() / 1000);
+        entry.numbers.emplace_back("news_age_ms", (now - report.receivedAt).count() / 1000);
         entry.numbers.emplace_back("told_in_use", report.load.inUse);
-        entry.numbers.emplace_back("told_queued", report.queued);
+        entry.numbers.emplace_back("told_queued", report.queuedCalls);
         entry.numbers.emplace_back(
             "told_slowdown_percent", static_cast<std::int64_t>(report.load.slowdown * 100));
     }
@@ -395,8 +398,8 @@
     }
     auto& router = *m_routers.at(call.request.service);
     const auto number = ++m_lastNumber;
-    const auto expected = router.expectedAt(upstream, needsOf(call, now), now);
-    const auto elsewhere = router.sent(upstream, call.request.groupNumber);
+    const auto expected = router.expectedResponseTime(upstream, needsOf(call, now), now);
+    const auto elsewhere = router.onAttemptSent(upstream, call.request.groupNumber);
     proto::PeerMessage message;
     *message.mutable_call() = envelope(call, *info, elsewhere, now);
     message.mutable_call()->set_number(number);
@@ -404,8 +407,8 @@
     // The owner may answer inside take(): the attempt must stand before that.
     const auto address = isOwn ? std::string() : info->config.node_address();
     call.out.push_back({ number, upstream, info->config.host(), address, message.call().owner_incarnation(),
-        now, router.slowdownOf(upstream), router.workClockOf(upstream, now), expected, call.asksLeft > 0,
-        std::exchange(call.paid, std::nullopt) });
+        now, router.reportedSlowdown(upstream), router.workClockReading(upstream, now), expected,
+        call.asksLeft > 0, std::exchange(call.paid, std::nullopt) });
     call.tried.push_back(upstream);
     if (isOwn)
         noteChoice(call, upstream, number, now);
@@ -429,7 +432,7 @@
         watchAttempt(id, call, number);
         return result;
     }
-    router.abandoned(upstream, call.request.groupNumber);
+    router.onAttemptAbandoned(upstream, call.request.groupNumber);
     call.paid = std::move(call.out.back().paid);
     call.out.pop_back();
     call.tried.pop_back();
--- a/src/Node/Ingress.h
+++ b/src/Node/Ingress.h
@@ -12,8 +12,8 @@
 #include "Node/RequestTrail.h"
 #include "Node/Timer.h"
 #include "Rates/RateKeeper.h"
-#include "Routing/CallBytes.h"
-#include "Routing/NestedCalls.h"
+#include "Routing/CallSizeEstimate.h"
+#include "Routing/NestedCallEstimate.h"
 #include "Routing/OwnerClock.h"
 #include "Routing/ServiceRouter.h"
 #include "peer.pb.h"
@@ -162,7 +162,7 @@
     /// own data hall.
     std::vector<std::string> ingressesBeside() const;
     /// \returns those of them that don't leave, with what their router needs to know.
-    std::vector<RouteTarget> targetsOf(
+    std::vector<UpstreamConfig> targetsOf(
         const ServiceInfo& service, const std::vector<std::string>& hosts) const;
     ServiceRouter& routerFor(const ServiceInfo& service);
     /// \returns whether \a request, made for a call that runs here, is likely the last one which that needs.
@@ -212,11 +212,11 @@
     bool mayTryAgain(Call& call, Instant now);
     /// \returns why the budgets don't allow one more attempt; nothing if they do, and then the service's has
     /// paid for it.
-    std::optional<RetryDenial> denyRetry(const Call& call, RetryClaim claim, Instant now);
+    std::optional<RetryDenial> denyRetry(const Call& call, RetryPriority claim, Instant now);
     /// \brief Adds \a n to the count \a name of the service.
     void countRetries(std::string_view name, const std::string& service, double n = 1);
     /// \brief As mayTryAgain(), but leaves it to the caller to count the retry once it is sent.
-    bool payRetry(Call& call, RetryClaim claim, Instant now);
+    bool payRetry(Call& call, RetryPriority claim, Instant now);
     /// \brief Sends a second attempt beside the one that is out, if the budgets allow; it waits for a link
     /// that is being opened as long as it is worthwhile.
     void sendSecond(CallId id, Call& call, const std::string& upstream, Instant now);
@@ -243,7 +243,7 @@
     void attemptLost(CallId id, Call& call, Reason reason, Instant now);
     /// \returns whether the owner that \a attempt was sent to has said that it doesn't run it.
     bool wasNeverRun(const Call& call, const Attempt& attempt) const;
-    RouteNeeds needsOf(const Call& call, Instant now) const;
+    CallProfile needsOf(const Call& call, Instant now) const;
     /// \returns an upstream for a second attempt; nothing if there is none.
     std::optional<std::string> pickSecond(Call& call, Instant now);
     /// \returns whether a second attempt at \a upstream is likely to be in time.
@@ -295,9 +295,9 @@
     ClaimService* m_claims;
     const Membership* m_members;
     SendToPeer m_send;
-    WeightedTurns m_turns;
-    NestedCalls m_nestedCalls;
-    CallBytes m_callBytes;
+    WeightedRoundRobin m_turns;
+    NestedCallEstimate m_nestedCalls;
+    CallSizeEstimate m_callBytes;
     bool m_isDraining = false;
     bool m_isConfigured = true;
     std::optional<double> m_retryBurst;
--- a/src/Node/IngressAnswers.cpp
+++ b/src/Node/IngressAnswers.cpp
@@ -33,19 +33,19 @@
         return reason == Reason::Leaving || reason == Reason::WrongOwner;
     }
 
-    Report reportOf(const proto::Load& load, Instant now)
+    OwnerReport reportOf(const proto::Load& load, Instant now)
     {
-        Report report;
+        OwnerReport report;
         report.load = { load.slots(), load.in_use(), load.waiting(), Duration(load.service_us()) };
         report.load.slowdown = load.slowdown_permille() ? load.slowdown_permille() / permille : 1;
         report.load.isDown = load.down();
         report.load.coldFor = std::chrono::milliseconds(load.cold_ms());
         report.load.coldPerSecond = load.cold_per_s();
         report.load.nextStart = Duration(load.next_start_us());
-        report.yours = load.yours();
-        report.queued = load.queued();
+        report.callsOfThisIngress = load.yours();
+        report.queuedCalls = load.queued();
         report.errorShare = load.error_permille() / permille;
-        report.heard = now;
+        report.receivedAt = now;
         return report;
     }
 
@@ -59,7 +59,7 @@
     const auto spent = Duration(answer.queued_us()) + Duration(answer.held_us());
     const auto received = mayHaveJoined ? answered : answered - spent;
     const OwnerClock::Sample sample { answer.incarnation(), attempt.sent, received, answered, now };
-    m_ownerClocks.try_emplace(attempt.upstream, sample).first->second.learn(sample);
+    m_ownerClocks.try_emplace(attempt.upstream, sample).first->second.addSample(sample);
 }
 
 void Ingress::learn(const Call& call, const Attempt& attempt, const proto::Answer& answer, Instant now)
@@ -72,28 +72,28 @@
         || (answer.outcome() == proto::ANSWERED && answer.status() >= firstServerError)
         || reasonOf(answer) == Reason::BackendUnreachable;
     const Duration held(answer.held_us());
-    router.answered(attempt.upstream, call.request.groupNumber, report, held, isFailure, now);
+    router.onAttemptAnswered(attempt.upstream, call.request.groupNumber, report, held, isFailure, now);
     const bool isLeaving = load.state() == static_cast<std::uint32_t>(UpstreamState::Leaving);
     router.setLeaving(attempt.upstream, isLeaving, now);
     if (load.down())
-        router.heard(attempt.upstream, report, now);
+        router.onLoadReport(attempt.upstream, report, now);
     if (answer.outcome() == proto::ANSWERED && answer.status() < firstError) {
         const auto& callClass = call.request.callClass.name;
-        m_callBytes.add(callClass, call.exchange->request().body.size() + answer.body().size());
-        router.measuredWork(callClass, held, attempt.slowdown);
-        router.took(callClass, now - attempt.sent, attempt.expected);
+        m_callBytes.addCall(callClass, call.exchange->request().body.size() + answer.body().size());
+        router.recordSlotTime(callClass, held, attempt.slowdown);
+        router.recordResponseTime(callClass, now - attempt.sent, attempt.expected);
         // Time in the owner's queue was no work.
         const double ran = toSeconds(held) / std::max(toSeconds(now - attempt.sent), toSeconds(held));
         const double work = toSeconds(workDone(call, attempt, now));
-        router.ranWork(callClass, fromSeconds(work * std::min(ran, 1.0)));
-        NestedCalls::Counts nested;
+        router.recordCompletedWork(callClass, fromSeconds(work * std::min(ran, 1.0)));
+        NestedCallEstimate::Counts nested;
         for (const auto& it : answer.nested())
             nested[it.service()] = it.calls();
-        m_nestedCalls.ran(callClass, nested);
+        m_nestedCalls.addRun(callClass, nested);
     }
     if (answer.outcome() == proto::ANSWERED) {
         const auto network = (now - attempt.sent) - held - Duration(answer.queued_us());
-        router.measuredRoundTrip(attempt.upstream, std::max(network, Duration::zero()));
+        router.recordRoundTrip(attempt.upstream, std::max(network, Duration::zero()));
     }
 }
 
@@ -118,8 +118,9 @@
     m_callByNumber.erase(found);
     auto& router = *m_routers.at(call.request.service);
     if (attempt.isAsk)
-        router.askWorth().answered(answer.outcome() == proto::NOT_RUN && reasonOf(answer) == Reason::Busy);
-    const bool wasSlow = isSlow(router.slowdownOf(attempt.upstream));
+        router.immediateAttemptPolicy().recordAnswer(
+            answer.outcome() == proto::NOT_RUN && reasonOf(answer) == Reason::Busy);
+    const bool wasSlow = isSlow(router.reportedSlowdown(attempt.upstream));
     learn(call, attempt, answer, now);
     const bool isUnsent = answer.outcome() == proto::NOT_RUN && !answer.offered() && call.request.isByRoute;
     if (isUnsent)
@@ -130,7 +131,7 @@
     }
     if (answer.offered() && ++call.arrivals > 1)
         countRetries("arrived", call.request.service);
-    if (!wasSlow && isSlow(router.slowdownOf(attempt.upstream)))
+    if (!wasSlow && isSlow(router.reportedSlowdown(attempt.upstream)))
         upstreamSlowed(attempt.upstream, now);
     if (answer.outcome() == proto::NOT_RUN)
         return refused(id, call, attempt, answer, now);
@@ -147,7 +148,7 @@
     const bool mayReplace = !isGood && isRepeatable(call) && now < call.deadline
         && (!call.out.empty() || mayTryAgain(call, now));
     if (!mayReplace) {
-        m_routers.at(call.request.service)->measuredLatency(now - call.arrived);
+        m_routers.at(call.request.service)->recordCallLatency(now - call.arrived);
         step(call, CallEvent::Answered);
         return finishAnswered(id, call, answer, now);
     }
@@ -310,7 +311,7 @@
         if (it == call.out.end())
             continue;
         auto attempt = std::move(*it);
-        m_routers.at(call.request.service)->lost(attempt.upstream, call.request.groupNumber, now);
+        m_routers.at(call.request.service)->onAttemptLost(attempt.upstream, call.request.groupNumber, now);
         call.out.erase(it);
         m_callByNumber.erase(number);
         if (!wasNeverRun(call, attempt)) {
@@ -345,7 +346,7 @@
 void Ingress::revive(const std::string& upstream, Instant now)
 {
     for (auto& [service, router] : m_routers)
-        router->revive(upstream, now);
+        router->reactivate(upstream, now);
 }
 
 void Ingress::takeLoad(const proto::LoadNews& news, Instant now)
@@ -353,7 +354,7 @@
     const auto report = reportOf(news.load(), now);
     const bool isLeaving = news.load().state() == static_cast<std::uint32_t>(UpstreamState::Leaving);
     for (auto& [service, router] : m_routers) {
-        router->heard(news.upstream(), report, now);
+        router->onLoadReport(news.upstream(), report, now);
         router->setLeaving(news.upstream(), isLeaving, now);
     }
     if (isSlow(report.load.slowdown))
--- a/src/Node/IngressEnd.cpp
+++ b/src/Node/IngressEnd.cpp
@@ -43,9 +43,9 @@
     for (const auto& it : std::exchange(call.out, {})) {
         m_callByNumber.erase(it.number);
         if (isLost)
-            router.lost(it.upstream, call.request.groupNumber, now);
+            router.onAttemptLost(it.upstream, call.request.groupNumber, now);
         else
-            router.abandoned(it.upstream, call.request.groupNumber);
+            router.onAttemptAbandoned(it.upstream, call.request.groupNumber);
         if (it.address.empty()) {
             m_owner->cancel(selfAsSender(), it.number, now);
             continue;
@@ -109,11 +109,11 @@
 bool Ingress::isHopeless(const Call& call, const std::string& upstream, Instant now)
 {
     auto& router = *m_routers.at(call.request.service);
-    const auto* view = router.find(upstream);
-    const bool isKnown = view && (view->coldWait(now) > Duration::zero() || call.freeRefusals);
+    const auto* view = router.findView(upstream);
+    const bool isKnown = view && (view->coldStartWait(now) > Duration::zero() || call.freeRefusals);
     if (!isKnown || !call.request.isByRoute)
         return false;
-    const auto end = now + router.expectedAt(upstream, needsOf(call, now), now);
+    const auto end = now + router.expectedResponseTime(upstream, needsOf(call, now), now);
     const auto target = call.request.callClass.targetLatency;
     const bool isTimely = call.request.isNested() || target == Duration::zero();
     return end > (isTimely ? call.deadline : std::min(call.arrived + target, call.deadline));
@@ -121,14 +121,14 @@
 
 void Ingress::finishCold(CallId id, Call& call, const std::string& upstream, Instant now)
 {
-    const auto* view = m_routers.at(call.request.service)->find(upstream);
+    const auto* view = m_routers.at(call.request.service)->findView(upstream);
     const auto& report = *view->report();
-    const auto wait = view->coldWait(now);
-    const auto coldLeft = std::max(report.load.coldFor - (now - report.heard), wait);
+    const auto wait = view->coldStartWait(now);
+    const auto coldLeft = std::max(report.load.coldFor - (now - report.receivedAt), wait);
     call.trail.setNotable();
     call.trail.add({ RequestEvent::UpstreamCold, now, upstream, 0, Reason::WarmingUp,
         { { "wait_ms", wait.count() / 1000 }, { "cold_ms", coldLeft.count() / 1000 },
-            { "news_age_ms", (now - report.heard).count() / 1000 } } });
+            { "news_age_ms", (now - report.receivedAt).count() / 1000 } } });
     // Spread over what is left, so that those who come back don't meet the same pace together.
     const auto spread = fromSeconds(toSeconds(coldLeft - wait) * m_context->random.unit());
     call.retryAfterMs = static_cast<std::uint32_t>(toMilliseconds(wait + spread));
--- a/src/Node/IngressEnvelope.cpp
+++ b/src/Node/IngressEnvelope.cpp
@@ -26,7 +26,7 @@
     const auto clock = m_ownerClocks.find(upstream.id);
     if (clock != m_ownerClocks.end()) {
         out.set_owner_incarnation(clock->second.incarnation());
-        const auto deadline = clock->second.at(now + Duration(left)).time_since_epoch();
+        const auto deadline = clock->second.upperBoundAt(now + Duration(left)).time_since_epoch();
         out.set_owner_deadline_us(static_cast<std::uint64_t>(std::max<std::int64_t>(deadline.count(), 1)));
     }
     if (call.isMinting) {
--- a/src/Node/IngressRetries.cpp
+++ b/src/Node/IngressRetries.cpp
@@ -15,11 +15,11 @@
     /// A call that has taken so many times its usual work is stuck, whatever is told of its upstream.
     constexpr double stuckWorks = 2;
 
-    RetryClaim claimOf(bool isNested, bool isLastNested)
+    RetryPriority claimOf(bool isNested, bool isLastNested)
     {
         if (!isNested)
-            return RetryClaim::Outside;
-        return isLastNested ? RetryClaim::LastNested : RetryClaim::Nested;
+            return RetryPriority::Outside;
+        return isLastNested ? RetryPriority::LastNested : RetryPriority::Nested;
     }
 
 } // namespace
@@ -38,29 +38,29 @@
         "robinrun_retries_" + std::string(name) + "_total{service=\"" + service + "\"}", n);
 }
 
-std::optional<RetryDenial> Ingress::denyRetry(const Call& call, RetryClaim claim, Instant now)
+std::optional<RetryDenial> Ingress::denyRetry(const Call& call, RetryPriority claim, Instant now)
 {
     if (call.attemptsLeft <= 1)
         return RetryDenial::AttemptsUsed;
     const auto group = call.request.groupNumber;
     auto& router = *m_routers.at(call.request.service);
-    if (router.isRetryKeptFrom(group, claim, now))
-        return RetryDenial::HigherClaim;
-    for (const auto& [service, calls] : m_nestedCalls.of(call.request.callClass.name)) {
+    if (router.isRetryReservedForHigher(group, claim, now))
+        return RetryDenial::HigherPriority;
+    for (const auto& [service, calls] : m_nestedCalls.meanCounts(call.request.callClass.name)) {
         const auto nested = m_routers.find(service);
         if (nested == m_routers.end())
             continue;
-        if (nested->second->isRetryKeptFrom(group, claim, now))
-            return RetryDenial::HigherClaim;
+        if (nested->second->isRetryReservedForHigher(group, claim, now))
+            return RetryDenial::HigherPriority;
         if (!nested->second->hasRetriesLeft(group))
-            return RetryDenial::NestedDebt;
+            return RetryDenial::NestedBudgetEmpty;
     }
     if (!router.trySpendRetry(group, claim, now))
-        return RetryDenial::OwnBudget;
+        return RetryDenial::OwnBudgetEmpty;
     return std::nullopt;
 }
 
-bool Ingress::payRetry(Call& call, RetryClaim claim, Instant now)
+bool Ingress::payRetry(Call& call, RetryPriority claim, Instant now)
 {
     // One that was given up before any backend server was asked to run it.
     if (call.paid)
@@ -81,7 +81,7 @@
 std::map<std::string, double> Ingress::chargeNested(const Call& call)
 {
     std::map<std::string, double> out;
-    for (const auto& [service, calls] : m_nestedCalls.of(call.request.callClass.name)) {
+    for (const auto& [service, calls] : m_nestedCalls.meanCounts(call.request.callClass.name)) {
         out[service] = calls.value();
         chargeNested(call, service, calls.value());
     }
@@ -146,14 +146,15 @@
         return std::nullopt;
     auto excluded = call.tried;
     excludeOtherRegions(call, excluded);
-    return m_routers.at(call.request.service)->pick(excluded, needsOf(call, now), now, m_context->random);
+    return m_routers.at(call.request.service)
+        ->pickUpstream(excluded, needsOf(call, now), now, m_context->random);
 }
 
 bool Ingress::isWorthwhile(const Call& call, const std::string& upstream, Instant now)
 {
     const auto needs = needsOf(call, now);
-    const auto expected = m_routers.at(call.request.service)->expectedAt(upstream, needs, now);
-    return fromSeconds(secondAttemptMargin * toSeconds(expected)) < needs.targetLatency;
+    const auto expected = m_routers.at(call.request.service)->expectedResponseTime(upstream, needs, now);
+    return fromSeconds(secondAttemptMargin * toSeconds(expected)) < needs.remainingTargetLatency;
 }
 
 void Ingress::attemptTimedOut(CallId id, std::uint64_t number)
@@ -165,7 +166,7 @@
     if (it == call.out.end())
         return;
     auto& router = *m_routers.at(call.request.service);
-    router.attemptTimedOut(it->upstream, now);
+    router.onAttemptLate(it->upstream, now);
     call.trail.setNotable();
     call.trail.add({ RequestEvent::AttemptLate, now, it->upstream, number, Reason::None,
         { { "after_ms", (now - it->sent).count() / 1000 }, { "attempts_left", call.attemptsLeft } } });
@@ -180,7 +181,7 @@
 
 Duration Ingress::workDone(const Call& call, const Attempt& attempt, Instant now) const
 {
-    return m_routers.at(call.request.service)->workClockOf(attempt.upstream, now) - attempt.workClock;
+    return m_routers.at(call.request.service)->workClockReading(attempt.upstream, now) - attempt.workClock;
 }
 
 bool Ingress::isOnItsWay(const Call& call, const Attempt& attempt, Instant now) const
@@ -188,10 +189,11 @@
     auto& router = *m_routers.at(call.request.service);
     const auto& callClass = call.request.callClass.name;
     const auto done = workDone(call, attempt, now);
-    const auto usual = router.remainingAt(attempt.upstream, callClass, Duration::zero());
+    const auto usual = router.expectedRemainingTime(attempt.upstream, callClass, Duration::zero());
     if (toSeconds(done) > stuckWorks * toSeconds(usual))
         return false;
-    return router.remainingAt(attempt.upstream, callClass, done) <= needsOf(call, now).targetLatency;
+    return router.expectedRemainingTime(attempt.upstream, callClass, done)
+        <= needsOf(call, now).remainingTargetLatency;
 }
 
 bool Ingress::mayHedge(Call& call, Instant now) const
@@ -204,7 +206,7 @@
 void Ingress::sendSecond(CallId id, Call& call, const std::string& upstream, Instant now)
 {
     // With one paid for already, another attempt is about to go out.
-    if (call.paid || !payRetry(call, RetryClaim::Outside, now))
+    if (call.paid || !payRetry(call, RetryPriority::Outside, now))
         return;
     const auto result = sendTo(id, call, upstream, now);
     if (result == SendResult::Sent)
@@ -244,8 +246,8 @@
     auto& router = *m_routers.at(call.request.service);
     const auto needs = needsOf(call, now);
     const auto done = workDone(call, attempt, now);
-    const auto here = router.remainingAt(attempt.upstream, call.request.callClass.name, done);
-    if (here <= needs.targetLatency)
+    const auto here = router.expectedRemainingTime(attempt.upstream, call.request.callClass.name, done);
+    if (here <= needs.remainingTargetLatency)
         return;
     const auto upstream = pickSecond(call, now);
     if (!upstream || !isWorthwhile(call, *upstream, now))
@@ -253,7 +255,7 @@
     call.trail.setNotable();
     call.trail.add({ RequestEvent::AttemptSlowed, now, attempt.upstream, attempt.number, Reason::None,
         { { "expected_ms", here.count() / 1000 }, { "work_done_ms", done.count() / 1000 },
-            { "target_left_ms", needs.targetLatency.count() / 1000 },
+            { "target_left_ms", needs.remainingTargetLatency.count() / 1000 },
             { "attempts_left", call.attemptsLeft } } });
     sendSecond(id, call, *upstream, now);
 }
--- a/src/Node/IngressTargets.cpp
+++ b/src/Node/IngressTargets.cpp
@@ -18,16 +18,16 @@
     const ServiceInfo& service, const std::vector<std::string>& hosts) const
 {
     const auto& settings = m_context->settings;
-    if (settings.choice.kind != ChoiceKind::Timely) {
+    if (settings.choice.kind != ChoicePolicyKind::Timely) {
         std::vector<std::string> names;
         for (const auto& it : service.upstreams)
             names.push_back(it.id);
         return chooseSubset(names, hosts, settings.name, settings.choice.subset);
     }
-    std::vector<UpstreamPlace> places;
+    std::vector<UpstreamLocation> places;
     for (const auto& it : service.upstreams)
         places.push_back({ it.id, it.config.data_hall() == settings.dataHall });
-    return chooseByHall(places, hosts, settings.name, settings.choice.subset);
+    return chooseHallSubset(places, hosts, settings.name, settings.choice.subset);
 }
 
 std::vector<std::string> Ingress::ingressesBeside() const
@@ -46,11 +46,11 @@
     return { out.begin(), out.end() };
 }
 
-std::vector<RouteTarget> Ingress::targetsOf(
+std::vector<UpstreamConfig> Ingress::targetsOf(
     const ServiceInfo& service, const std::vector<std::string>& hosts) const
 {
     const auto& settings = m_context->settings;
-    std::vector<RouteTarget> out;
+    std::vector<UpstreamConfig> out;
     for (const auto i : subsetOf(service, hosts)) {
         const auto& config = service.upstreams[i].config;
         if (config.leaving())
@@ -68,11 +68,11 @@
     auto& router = m_routers[service.id];
     if (!router) {
         ServiceRouter::Options options;
-        options.kind = m_context->settings.choice.kind;
+        options.policyKind = m_context->settings.choice.kind;
         options.farLoss = m_context->settings.choice.farLoss;
-        options.ejects = m_context->settings.experiments.isOn(Mechanism::Ejection);
+        options.ejectsOutliers = m_context->settings.experiments.isOn(Mechanism::Ejection);
         options.retryFraction = service.config.retry_fraction();
-        options.sharesRetries = m_retryBurst.has_value();
+        options.sharesRetryBudget = m_retryBurst.has_value();
         router = std::make_unique<ServiceRouter>(options);
     }
     return *router;
@@ -88,7 +88,8 @@
             router.setRetryBurst(*m_retryBurst);
         router.setUpstreams(targetsOf(info, hosts), now);
     }
-    std::erase_if(m_ownerClocks, [&](const auto& it) { return now - it.second.heard() > clockMemory; });
+    std::erase_if(
+        m_ownerClocks, [&](const auto& it) { return now - it.second.lastAnswerTime() > clockMemory; });
     // Routers of removed services stay: calls in progress still end through them.
 }
 
@@ -108,7 +109,7 @@
         for (const auto& it : router->views()) {
             if (!it.report())
                 continue;
-            total += now - it.report()->heard;
+            total += now - it.report()->receivedAt;
             ++n;
         }
     }
--- a/src/Routing/Choice.h
+++ b/src/Routing/ChoicePolicy.h
@@ -4,7 +4,7 @@
 #include "Core/Random.h"
 #include "Core/Time.h"
 #include "Queueing/WorkEstimate.h"
-#include "Routing/LateChance.h"
+#include "Routing/LatenessEstimate.h"
 #include "Routing/UpstreamView.h"
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 namespace robinrun {
 
 /// \brief The ways to choose an upstream. All but the last are kept as baselines to measure against.
-enum class ChoiceKind {
+enum class ChoicePolicyKind {
     Random,
     RoundRobin,
     LeastInFlight,
@@ -26,7 +26,7 @@
     Timely,
 };
 
-template <> struct EnumNames<ChoiceKind> {
+template <> struct EnumNames<ChoicePolicyKind> {
     static constexpr std::array<std::string_view, 7> names { "random", "round-robin", "least-in-flight",
         "power-of-two", "hot-cold", "robinrun", "timely" };
 };
@@ -37,37 +37,38 @@
     std::span<const std::size_t> candidates;
     Instant now {};
     std::uint32_t group = 0;
-    Duration targetLatency {}; ///< what is left of it; 0: none
-    WorkEstimate work {}; ///< slot times of such calls
-    const LateChance* lateChance = nullptr; ///< of such calls; needed where there is a target latency
+    Duration remainingTargetLatency {}; ///< what is left of it; 0: none
+    WorkEstimate workEstimate {}; ///< slot times of such calls
+    const LatenessEstimate* latenessEstimate
+        = nullptr; ///< of such calls; needed where there is a target latency
     double relativeBytes = 1; ///< of such a call and its answer, over those of a mean call
 };
 
 /// \brief Uniform choice, blind to load.
 struct RandomChoice {
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
 /// \brief Each candidate in turn, blind to load.
 struct RoundRobinChoice {
-    std::size_t next = 0;
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t nextPosition = 0;
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
 /// \brief Least own calls in flight; ties at random.
 struct LeastInFlightChoice {
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
 /// \brief The less loaded of two random candidates, by the last report as it stands.
 struct PowerOfTwoChoice {
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
 /// \brief Probing with hot/cold ranking: of a few sampled reports those above a load quantile are hot; among
 /// the cold ones the least latency wins, and if all are hot the least load.
 struct HotColdChoice {
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
 /// \brief robinrun's own: the least expected delay, from own calls (exact) and others' (stale, by age).
@@ -80,29 +81,31 @@
 /// \sa docs/design/choice.md
 struct ExpectedDelayChoice {
     struct Options {
-        Duration newsMemory = 60ms; ///< time constant for others' calls
-        Duration speedMemory = 2s; ///< time constant for the slot time
-        double alike
+        Duration loadDecayTime = 60ms; ///< time constant for others' calls
+        Duration slotTimeDecayTime = 2s; ///< time constant for the slot time
+        double equalSlotTimeFactor
             = 1.5; ///< slot times within this factor of the median are taken as equal: they differ by chance
-        Duration warmUp = 5s; ///< length of the slow start
-        std::size_t sample = 8; ///< candidates compared
-        double loadSlope = 0.5; ///< part of a slot time that a full set of slots counts for below saturation
-        double ownWeight = 8; ///< how many calls one own call in flight counts for, below saturation
-        double maxCrowding = 10; ///< bound of what load below saturation counts for, in slot times
+        Duration slowStartDuration = 5s; ///< length of the slow start
+        std::size_t sampleSize = 8; ///< candidates compared
+        double loadPenaltySlope
+            = 0.5; ///< part of a slot time that a full set of slots counts for below saturation
+        double ownCallWeight = 8; ///< how many calls one own call in flight counts for, below saturation
+        double maxLoadPenalty = 10; ///< bound of what load below saturation counts for, in slot times
     };
     Options options {};
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 
 private:
-    struct Means {
-        double othersPerSlot = 0;
-        double serviceSeconds = 0; ///< the median
+    struct CandidateSummary {
+        double otherCallsPerSlot = 0;
+        double medianSlotSeconds = 0; ///< the median
     };
-    Means meansOf(const ChoiceInput& in);
-    double serviceOf(const UpstreamView& view, const Means& means, Instant now) const;
-    double delay(const UpstreamView& view, const Means& means, const ChoiceInput& in) const;
-    std::vector<std::size_t> m_sampled;
-    std::vector<double> m_services;
+    CandidateSummary summarizeCandidates(const ChoiceInput& input);
+    double slotSecondsOf(const UpstreamView& view, const CandidateSummary& summary, Instant now) const;
+    double expectedDelaySeconds(
+        const UpstreamView& view, const CandidateSummary& summary, const ChoiceInput& input) const;
+    std::vector<std::size_t> m_sampledCandidates;
+    std::vector<double> m_slotSeconds;
 };
 
 /// \brief The least expected loss of credit, for calls with a target latency.
@@ -116,32 +119,31 @@
 /// \sa docs/design/platform.md
 struct TimelyChoice {
     struct Options {
-        Duration slowdownMemory = 1s; ///< time constant, in case that the news of its end is lost
-        Duration loadMemory = 500ms; ///< time constant for others' calls
+        Duration slowdownDecayTime = 1s; ///< time constant, in case that the news of its end is lost
+        Duration loadDecayTime = 500ms; ///< time constant for others' calls
         double farLoss = 0.15; ///< credit that the bytes of a mean call to another data hall cost
-        double leastRelativeBytes = 0.2; ///< a small call costs messages and time on its way all the same
-        double mostRelativeBytes
-            = 4; ///< a large one is not kept where it can't be served for its bytes alone
-        double delayLoss = 0.1; ///< credit for each target latency that passes, among those in time
+        double minRelativeBytes = 0.2; ///< a small call costs messages and time on its way all the same
+        double maxRelativeBytes = 4; ///< a large one is not kept where it can't be served for its bytes alone
+        double delayLossPerTarget = 0.1; ///< credit for each target latency that passes, among those in time
     };
     Options options {};
-    std::size_t operator()(const ChoiceInput& in, Random& random);
+    std::size_t operator()(const ChoiceInput& input, Random& random);
 
     /// \returns the time that a call is expected to take there.
-    Duration expected(const UpstreamView& view, const ChoiceInput& in) const;
+    Duration expectedTime(const UpstreamView& view, const ChoiceInput& input) const;
 
 private:
-    double loss(const UpstreamView& view, const ChoiceInput& in) const;
+    double expectedLoss(const UpstreamView& view, const ChoiceInput& input) const;
 };
 
 /// \brief A way to choose, with its state.
-using Choice = std::variant<RandomChoice, RoundRobinChoice, LeastInFlightChoice, PowerOfTwoChoice,
+using ChoicePolicy = std::variant<RandomChoice, RoundRobinChoice, LeastInFlightChoice, PowerOfTwoChoice,
     HotColdChoice, ExpectedDelayChoice, TimelyChoice>;
 
 /// \returns the choice of \a kind with its defaults.
-Choice makeChoice(ChoiceKind kind);
+ChoicePolicy makeChoicePolicy(ChoicePolicyKind kind);
 
 /// \brief Chooses among the candidates. \returns an index into the views; nothing if there are no candidates.
-std::optional<std::size_t> choose(Choice& choice, const ChoiceInput& in, Random& random);
+std::optional<std::size_t> chooseUpstream(ChoicePolicy& policy, const ChoiceInput& input, Random& random);
 
 } // namespace robinrun
--- a/src/Routing/Ejection.cpp
+++ b/src/Routing/Ejection.cpp
@@ -16,46 +16,47 @@
 
 bool Ejection::isEjected(std::size_t index, Instant now) const
 {
-    return index < m_entries.size() && m_entries[index].until && now < *m_entries[index].until;
+    return index < m_entries.size() && m_entries[index].ejectedUntil && now < *m_entries[index].ejectedUntil;
 }
 
 std::size_t Ejection::ejectedCount(Instant now) const
 {
-    std::size_t n = 0;
+    std::size_t count = 0;
     for (std::size_t i = 0; i < m_entries.size(); ++i)
-        n += isEjected(i, now);
-    return n;
+        count += isEjected(i, now);
+    return count;
 }
 
 std::vector<std::size_t> Ejection::update(std::span<const UpstreamView> views, Instant now)
 {
     m_entries.resize(views.size());
-    std::vector<std::size_t> back;
-    const auto cap = static_cast<std::size_t>(m_options.maxShare * static_cast<double>(views.size()));
-    auto out = ejectedCount(now);
+    std::vector<std::size_t> returned;
+    const auto maxEjected
+        = static_cast<std::size_t>(m_options.maxEjectedShare * static_cast<double>(views.size()));
+    auto ejected = ejectedCount(now);
     for (std::size_t i = 0; i < views.size(); ++i) {
         auto& entry = m_entries[i];
         if (isEjected(i, now))
             continue;
-        if (entry.until) {
-            entry.until.reset();
-            back.push_back(i);
+        if (entry.ejectedUntil) {
+            entry.ejectedUntil.reset();
+            returned.push_back(i);
             continue;
         }
         const double errors = views[i].errorShare(now);
-        if (errors > m_options.errorShare && out < cap) {
-            const auto length = m_options.first * (1U << std::min(entry.times, maxDoublings));
-            entry.until = now + std::min(length, m_options.longest);
-            ++entry.times;
-            ++out;
-        } else if (errors < m_options.errorShare / 10) {
-            entry.times = 0;
+        if (errors > m_options.maxErrorShare && ejected < maxEjected) {
+            const auto length = m_options.initialDuration * (1U << std::min(entry.ejections, maxDoublings));
+            entry.ejectedUntil = now + std::min(length, m_options.maxDuration);
+            ++entry.ejections;
+            ++ejected;
+        } else if (errors < m_options.maxErrorShare / 10) {
+            entry.ejections = 0;
         }
     }
-    return back;
+    return returned;
 }
 
-void Ejection::candidates(std::span<const UpstreamView> views, std::span<const std::size_t> excluded,
+void Ejection::collectCandidates(std::span<const UpstreamView> views, std::span<const std::size_t> excluded,
     Instant now, std::vector<std::size_t>& out) const
 {
     out.clear();
@@ -68,7 +69,7 @@
             out.push_back(i);
     }
     const bool isPanic
-        = static_cast<double>(out.size() + excluded.size()) < m_options.panicShare * double(active);
+        = static_cast<double>(out.size() + excluded.size()) < m_options.panicThreshold * double(active);
     if (!isPanic && !out.empty())
         return;
     out.clear();
--- a/src/Routing/Ejection.h
+++ b/src/Routing/Ejection.h
@@ -19,11 +19,11 @@
 class Ejection {
 public:
     struct Options {
-        double errorShare = 0.5; ///< ejected above it
-        Duration first = 1s; ///< length of the first ejection
-        Duration longest = 30s;
-        double maxShare = 0.5;
-        double panicShare = 0.34;
+        double maxErrorShare = 0.5; ///< ejected above it
+        Duration initialDuration = 1s; ///< length of the first ejection
+        Duration maxDuration = 30s;
+        double maxEjectedShare = 0.5;
+        double panicThreshold = 0.34;
     };
 
     explicit Ejection(Options options)
@@ -36,16 +36,16 @@
 
     /// \brief Fills \a out with the upstreams that may get new calls: active, not ejected, not \a excluded;
     /// where there are none, all active ones that are not excluded, or the lost ones if none is active.
-    void candidates(std::span<const UpstreamView> views, std::span<const std::size_t> excluded, Instant now,
-        std::vector<std::size_t>& out) const;
+    void collectCandidates(std::span<const UpstreamView> views, std::span<const std::size_t> excluded,
+        Instant now, std::vector<std::size_t>& out) const;
 
     bool isEjected(std::size_t index, Instant now) const;
     std::size_t ejectedCount(Instant now) const;
 
 private:
     struct Entry {
-        std::optional<Instant> until;
-        unsigned times = 0;
+        std::optional<Instant> ejectedUntil;
+        unsigned ejections = 0;
     };
 
     Options m_options;
--- a/src/Routing/HallSubset.h
+++ b/src/Routing/HallSubset.h
@@ -7,7 +7,7 @@
 namespace robinrun {
 
 /// \brief An upstream of a service as an ingress chooses which ones to keep to.
-struct UpstreamPlace {
+struct UpstreamLocation {
     std::string name;
     bool isNear = false; ///< in the ingress's own data hall
 };
@@ -22,7 +22,7 @@
 /// Cost: O(n log n), on changes of membership only.
 /// \param hallIngresses names of the ingresses in the own hall, \a self among them.
 /// \returns indexes into \a upstreams.
-std::vector<std::size_t> chooseByHall(const std::vector<UpstreamPlace>& upstreams,
+std::vector<std::size_t> chooseHallSubset(const std::vector<UpstreamLocation>& upstreams,
     const std::vector<std::string>& hallIngresses, const std::string& self, std::size_t size);
 
 } // namespace robinrun
--- a/src/Routing/AskWorth.h
+++ b/src/Routing/ImmediateAttemptPolicy.h
@@ -13,26 +13,26 @@
 /// busy, each question costs a round trip of the call's time and work at the busiest nodes, and the call
 /// waits in the end all the same. A few calls go on asking, so that it shows when there is room again. No
 /// I/O. Cost: O(1).
-class AskWorth {
+class ImmediateAttemptPolicy {
 public:
     /// \brief An owner was asked. \param wasBusy it did not run the call at once.
-    void answered(bool wasBusy) { m_busy.add(wasBusy ? 1 : 0); }
+    void recordAnswer(bool wasBusy) { m_busyShare.add(wasBusy ? 1 : 0); }
 
-    /// \returns how many owners to ask for the next call, \a most where it is worthwhile.
-    std::uint32_t asks(std::uint32_t most, Random& random) const
+    /// \returns how many owners to ask for the next call, \a maxAttempts where it is worthwhile.
+    std::uint32_t attemptsForNextCall(std::uint32_t maxAttempts, Random& random) const
     {
-        if (m_busy.value() < mostBusy || random.chance(probeShare))
-            return most;
+        if (m_busyShare.value() < maxBusyShare || random.chance(explorationShare))
+            return maxAttempts;
         return 0;
     }
 
 private:
     static constexpr double sampleWeight = 0.1; ///< the last ten answers or so count
     /// Beyond, two questions find a free owner for less than half of the calls.
-    static constexpr double mostBusy = 0.7;
-    static constexpr double probeShare = 0.1; ///< of the calls ask all the same
+    static constexpr double maxBusyShare = 0.7;
+    static constexpr double explorationShare = 0.1; ///< of the calls ask all the same
 
-    Ewma m_busy { sampleWeight };
+    Ewma m_busyShare { sampleWeight };
 };
 
 } // namespace robinrun
--- a/src/Routing/LateChance.h
+++ b/src/Routing/LatenessEstimate.h
@@ -13,21 +13,21 @@
 /// class. Kept are the ratios of the time that answers took to the time that was expected, in a histogram
 /// over their logarithms in which older ones count less. Before any answer, work is taken to vary by a third.
 /// Cost: O(bins) an answer, O(bins) a reading; 350 bytes.
-class LateChance {
+class LatenessEstimate {
 public:
-    LateChance();
+    LatenessEstimate();
 
     /// \brief An answer took \a actual where \a expected was expected; both above 0.
-    void took(Duration actual, Duration expected);
+    void addResponse(Duration actual, Duration expected);
 
     /// \returns the chance, in [0, 1], that an answer of which \a expected is expected takes more than \a
-    /// allowed.
-    double of(Duration expected, Duration allowed) const;
+    /// limit.
+    double lateProbability(Duration expected, Duration limit) const;
 
 private:
-    static constexpr std::size_t bins = 40;
+    static constexpr std::size_t binCount = 40;
 
-    std::array<double, bins> m_ratios {};
+    std::array<double, binCount> m_binWeights {};
 };
 
 } // namespace robinrun
--- a/src/Routing/NestedCalls.h
+++ b/src/Routing/NestedCallEstimate.h
@@ -13,17 +13,17 @@
 ///
 /// A call that runs twice makes them twice; so a retry is paid for at those services as well.
 /// Cost: O(log classes + services called).
-class NestedCalls {
+class NestedCallEstimate {
 public:
     using Counts = std::map<std::string, double, std::less<>>; ///< calls by service
-    using Means = std::map<std::string, Ewma, std::less<>>;
+    using MeanCounts = std::map<std::string, Ewma, std::less<>>;
 
     /// \brief A call of \a callClass has run and made the calls in \a counts.
-    void ran(std::string_view callClass, const Counts& counts)
+    void addRun(std::string_view callClass, const Counts& counts)
     {
-        auto it = m_classes.find(callClass);
-        if (it == m_classes.end())
-            it = m_classes.emplace(std::string(callClass), Means()).first;
+        auto it = m_meansByClass.find(callClass);
+        if (it == m_meansByClass.end())
+            it = m_meansByClass.emplace(std::string(callClass), MeanCounts()).first;
         for (const auto& [service, n] : counts)
             it->second.try_emplace(service, sampleWeight);
         for (auto& [service, mean] : it->second) {
@@ -33,17 +33,17 @@
     }
 
     /// \returns the mean number of calls by service.
-    const Means& of(std::string_view callClass) const
+    const MeanCounts& meanCounts(std::string_view callClass) const
     {
-        static const Means none;
-        const auto it = m_classes.find(callClass);
-        return it == m_classes.end() ? none : it->second;
+        static const MeanCounts empty;
+        const auto it = m_meansByClass.find(callClass);
+        return it == m_meansByClass.end() ? empty : it->second;
     }
 
 private:
     static constexpr double sampleWeight = 0.05;
 
-    std::map<std::string, Means, std::less<>> m_classes;
+    std::map<std::string, MeanCounts, std::less<>> m_meansByClass;
 };
 
 } // namespace robinrun
--- a/src/Routing/OwnerClock.h
+++ b/src/Routing/OwnerClock.h
@@ -27,76 +27,77 @@
         std::uint64_t incarnation = 0; ///< of the owner
         Instant sent {}; ///< the call, on this node's clock
         /// On the owner's clock, when it had received the call. If it isn't known, any later moment will do.
-        Instant received {};
-        Instant answered {}; ///< on the owner's clock
-        Instant heard {}; ///< the answer, on this node's clock
+        Instant ownerReceived {};
+        Instant ownerAnswered {}; ///< on the owner's clock
+        Instant answerReceived {}; ///< the answer, on this node's clock
     };
 
     /// By how much two clocks drift apart at most: what a kernel slews a clock by to set it.
-    static constexpr std::int64_t driftPerMillion = 500;
+    static constexpr std::int64_t maxDriftPerMillion = 500;
     /// Calls that wait for a node of a tenth of a core take 0.2 s, others among the next few don't.
     static constexpr Duration halfWindow = 10s;
 
-    explicit OwnerClock(const Sample& first) { beginAnew(first); }
+    explicit OwnerClock(const Sample& first) { restart(first); }
 
-    void learn(const Sample& sample)
+    void addSample(const Sample& sample)
     {
-        m_heard = std::max(m_heard, sample.heard);
-        const bool isWrong = at(sample.heard) < sample.answered;
-        if (sample.incarnation != m_incarnation || isWrong)
-            return beginAnew(sample);
-        if (sample.heard - m_presentSince >= halfWindow) {
-            const bool isOld = sample.heard - m_presentSince >= 2 * halfWindow;
-            m_former = isOld ? std::nullopt : std::optional(m_present);
-            m_present = boundOf(sample);
-            m_presentSince = sample.heard;
+        m_lastAnswer = std::max(m_lastAnswer, sample.answerReceived);
+        const bool isTooLow = upperBoundAt(sample.answerReceived) < sample.ownerAnswered;
+        if (sample.incarnation != m_incarnation || isTooLow)
+            return restart(sample);
+        if (sample.answerReceived - m_currentSince >= halfWindow) {
+            const bool isStale = sample.answerReceived - m_currentSince >= 2 * halfWindow;
+            m_previousBound = isStale ? std::nullopt : std::optional(m_currentBound);
+            m_currentBound = boundOf(sample);
+            m_currentSince = sample.answerReceived;
             return;
         }
-        if (boundOf(sample).at(sample.heard) < m_present.at(sample.heard))
-            m_present = boundOf(sample);
+        if (boundOf(sample).upperBoundAt(sample.answerReceived)
+            < m_currentBound.upperBoundAt(sample.answerReceived))
+            m_currentBound = boundOf(sample);
     }
 
-    /// \returns what the owner's clock shows when this node's shows \a then, at most.
-    Instant at(Instant then) const
+    /// \returns what the owner's clock shows when this node's shows \a localTime, at most.
+    Instant upperBoundAt(Instant localTime) const
     {
-        const auto present = m_present.at(then);
-        return m_former ? std::min(present, m_former->at(then)) : present;
+        const auto current = m_currentBound.upperBoundAt(localTime);
+        return m_previousBound ? std::min(current, m_previousBound->upperBoundAt(localTime)) : current;
     }
 
     /// \returns the owner's incarnation.
     std::uint64_t incarnation() const { return m_incarnation; }
     /// \returns when its last answer came.
-    Instant heard() const { return m_heard; }
+    Instant lastAnswerTime() const { return m_lastAnswer; }
 
 private:
-    /// That the owner's clock was ahead by `ahead` at most, once.
+    /// That the owner's clock was maxLead by `ahead` at most, once.
     struct Bound {
-        Duration ahead {};
-        Instant since {};
+        Duration maxLead {};
+        Instant measuredAt {};
 
-        Instant at(Instant then) const
+        Instant upperBoundAt(Instant localTime) const
         {
-            const auto age = std::max(then - since, Duration::zero());
-            return then + ahead + Duration(age.count() * driftPerMillion / 1'000'000 + 1);
+            const auto age = std::max(localTime - measuredAt, Duration::zero());
+            return localTime + maxLead + Duration(age.count() * maxDriftPerMillion / 1'000'000 + 1);
         }
     };
 
-    static Bound boundOf(const Sample& sample) { return { sample.received - sample.sent, sample.sent }; }
+    static Bound boundOf(const Sample& sample) { return { sample.ownerReceived - sample.sent, sample.sent }; }
 
-    void beginAnew(const Sample& sample)
+    void restart(const Sample& sample)
     {
         m_incarnation = sample.incarnation;
-        m_present = boundOf(sample);
-        m_former.reset();
-        m_presentSince = sample.heard;
-        m_heard = sample.heard;
+        m_currentBound = boundOf(sample);
+        m_previousBound.reset();
+        m_currentSince = sample.answerReceived;
+        m_lastAnswer = sample.answerReceived;
     }
 
     std::uint64_t m_incarnation = 0;
-    Bound m_present; ///< the least of this half-window
-    std::optional<Bound> m_former; ///< of the one before
-    Instant m_presentSince {};
-    Instant m_heard {};
+    Bound m_currentBound; ///< the least of this half-window
+    std::optional<Bound> m_previousBound; ///< of the one before
+    Instant m_currentSince {};
+    Instant m_lastAnswer {};
 };
 
 } // namespace robinrun
--- a/src/Routing/RetryBudget.h
+++ b/src/Routing/RetryBudget.h
@@ -10,7 +10,7 @@
 namespace robinrun {
 
 /// \brief What a retry is for, by what is lost without it, the least first.
-enum class RetryClaim {
+enum class RetryPriority {
     Outside, ///< of a call from outside, whose caller may come back, or beside one that may be answered
     Nested, ///< of a call that a run waits for, which has held a slot so far
     LastNested, ///< the same, if it is likely the last that the run needs
@@ -25,7 +25,7 @@
 class RetryBudget {
 public:
     RetryBudget(double fraction, double burst)
-        : m_fraction(fraction)
+        : m_retryFraction(fraction)
         , m_burst(burst)
         , m_tokens(burst)
     {
@@ -35,35 +35,35 @@
     /// no retries, however often it comes.
     void setBounds(double fraction, double burst)
     {
-        m_fraction = fraction;
+        m_retryFraction = fraction;
         m_burst = burst;
         m_tokens = std::min(m_tokens, burst);
     }
 
     /// \returns the retries that are saved up.
-    double saved() const { return m_tokens; }
+    double savedRetries() const { return m_tokens; }
 
-    void firstAttempt() { m_tokens = std::min(m_burst, m_tokens + m_fraction); }
+    void recordFirstAttempt() { m_tokens = std::min(m_burst, m_tokens + m_retryFraction); }
 
     /// \brief Pays for \a n calls that a retry makes here; below 0 takes that back. May leave a debt, which
     /// first attempts pay off.
     void charge(double n) { m_tokens = std::min(m_burst, m_tokens - n); }
 
     /// \returns whether what is saved up is kept for higher claims, one of which went without it lately.
-    bool isKeptFrom(RetryClaim claim, Instant now) const
+    bool isReservedForHigher(RetryPriority priority, Instant now) const
     {
-        const auto higher = m_unpaid.begin() + static_cast<std::ptrdiff_t>(claim) + 1;
+        const auto higher = m_lastDenied.begin() + static_cast<std::ptrdiff_t>(priority) + 1;
         return std::any_of(
-            higher, m_unpaid.end(), [&](const auto& it) { return it && now - *it < claimMemory; });
+            higher, m_lastDenied.end(), [&](const auto& it) { return it && now - *it < reservationTimeout; });
     }
 
     /// \returns whether a retry may be sent; if so it is spent.
-    bool trySpend(RetryClaim claim, Instant now)
+    bool trySpend(RetryPriority priority, Instant now)
     {
-        if (isKeptFrom(claim, now))
+        if (isReservedForHigher(priority, now))
             return false;
         if (m_tokens < 1) {
-            m_unpaid[static_cast<std::size_t>(claim)] = now;
+            m_lastDenied[static_cast<std::size_t>(priority)] = now;
             return false;
         }
         m_tokens -= 1;
@@ -72,12 +72,12 @@
 
 private:
     /// Longer than it takes to earn a retry where many are asked for, and much shorter than a window.
-    static constexpr Duration claimMemory = 1s;
+    static constexpr Duration reservationTimeout = 1s;
 
-    double m_fraction;
+    double m_retryFraction;
     double m_burst;
     double m_tokens;
-    std::array<std::optional<Instant>, 3> m_unpaid; ///< when a claim last went without, by RetryClaim
+    std::array<std::optional<Instant>, 3> m_lastDenied; ///< when a claim last went without, by RetryPriority
 };
 
 } // namespace robinrun
--- a/src/Routing/RetryDenial.h
+++ b/src/Routing/RetryDenial.h
@@ -10,9 +10,9 @@
 /// \brief Why a call gets no further attempt that counts as a retry.
 enum class RetryDenial {
     AttemptsUsed, ///< it has had as many as its request allows
-    OwnBudget, ///< its service's budget holds no whole retry
-    HigherClaim, ///< others need the budget more, of its service or of one that its run would call
-    NestedDebt, ///< the budget of a service that its run would call is used up
+    OwnBudgetEmpty, ///< its service's budget holds no whole retry
+    HigherPriority, ///< others need the budget more, of its service or of one that its run would call
+    NestedBudgetEmpty, ///< the budget of a service that its run would call is used up
 };
 
 template <> struct EnumNames<RetryDenial> {
--- a/src/Routing/ServiceRouter.cpp
+++ b/src/Routing/ServiceRouter.cpp
@@ -5,49 +5,50 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::uint32_t allGroups = 0; // pays for retries where groups share them
+    constexpr std::uint32_t sharedBudgetGroup = 0; // pays for retries where groups share them
 
     /// How often errors are judged and pauses ended; decisions between use the last judgement.
-    constexpr Duration judgementEvery = 20ms;
+    constexpr Duration stateCheckInterval = 20ms;
     constexpr int maxPauseDoublings = 4;
     /// Work that was never measured is taken for this part of the target latency.
-    constexpr double unknownWorkShare = 0.3;
+    constexpr double defaultSlotTimeShare = 0.3;
 
 } // namespace
 
 ServiceRouter::ServiceRouter(Options options)
     : m_options(options)
-    , m_choice(makeChoice(options.kind))
+    , m_policy(makeChoicePolicy(options.policyKind))
     , m_ejection(options.ejection)
 {
-    if (auto* timely = std::get_if<TimelyChoice>(&m_choice))
+    if (auto* timely = std::get_if<TimelyChoice>(&m_policy))
         timely->options.farLoss = options.farLoss;
 }
 
 UpstreamView* ServiceRouter::viewOf(const std::string& name)
 {
-    const auto it = m_index.find(name);
-    return it == m_index.end() ? nullptr : &m_views[it->second];
+    const auto it = m_indexByName.find(name);
+    return it == m_indexByName.end() ? nullptr : &m_views[it->second];
 }
 
-const UpstreamView* ServiceRouter::find(const std::string& upstream) const
+const UpstreamView* ServiceRouter::findView(const std::string& upstream) const
 {
-    const auto it = m_index.find(upstream);
-    return it == m_index.end() ? nullptr : &m_views[it->second];
+    const auto it = m_indexByName.find(upstream);
+    return it == m_indexByName.end() ? nullptr : &m_views[it->second];
 }
 
 RetryBudget& ServiceRouter::budgetOf(std::uint32_t group)
 {
-    const auto payer = m_options.sharesRetries ? allGroups : group;
-    return m_budgets.try_emplace(payer, m_options.retryFraction, m_options.retryBurst).first->second;
+    const auto payingGroup = m_options.sharesRetryBudget ? sharedBudgetGroup : group;
+    return m_retryBudgets.try_emplace(payingGroup, m_options.retryFraction, m_options.retryBurst)
+        .first->second;
 }
 
-void ServiceRouter::setUpstreams(const std::vector<RouteTarget>& targets, Instant now)
+void ServiceRouter::setUpstreams(const std::vector<UpstreamConfig>& upstreams, Instant now)
 {
     const bool isFirst = m_views.empty();
     std::vector<UpstreamView> views;
     std::unordered_map<std::string, std::size_t> index;
-    for (const auto& it : targets) {
+    for (const auto& it : upstreams) {
         index[it.name] = views.size();
         if (auto* known = viewOf(it.name)) {
             known->setSlots(it.slots);
@@ -57,11 +58,11 @@
         }
         views.emplace_back(it.name, it.slots, it.roundTrip, it.isFar);
         if (!isFirst)
-            views.back().restartWarmUp(now);
+            views.back().restartSlowStart(now);
     }
-    const bool isSameOrder = index == m_index;
+    const bool isSameOrder = index == m_indexByName;
     m_views = std::move(views);
-    m_index = std::move(index);
+    m_indexByName = std::move(index);
     if (!isSameOrder)
         m_ejection = Ejection(m_options.ejection);
 }
@@ -80,99 +81,103 @@
 {
     m_options.retryFraction = fraction;
     m_options.retryBurst = burst;
-    for (auto& [group, budget] : m_budgets)
+    for (auto& [group, budget] : m_retryBudgets)
         budget.setBounds(fraction, burst);
 }
 
 double ServiceRouter::savedRetries() const
 {
-    double out = 0;
-    for (const auto& [group, budget] : m_budgets)
-        out += budget.saved();
-    return out;
+    double total = 0;
+    for (const auto& [group, budget] : m_retryBudgets)
+        total += budget.savedRetries();
+    return total;
 }
 
-void ServiceRouter::measuredWork(std::string_view callClass, Duration held, double slowdown)
+void ServiceRouter::recordSlotTime(std::string_view callClass, Duration slotTime, double slowdown)
 {
-    viewOfClass(callClass).work.add(held, slowdown);
+    estimatesOf(callClass).work.add(slotTime, slowdown);
 }
 
-void ServiceRouter::took(std::string_view callClass, Duration actual, Duration expected)
+void ServiceRouter::recordResponseTime(std::string_view callClass, Duration actual, Duration expected)
 {
-    viewOfClass(callClass).lateChance.took(actual, expected);
+    estimatesOf(callClass).lateness.addResponse(actual, expected);
 }
 
-ServiceRouter::ClassView& ServiceRouter::viewOfClass(std::string_view callClass)
+ServiceRouter::ClassEstimates& ServiceRouter::estimatesOf(std::string_view callClass)
 {
-    auto it = m_classes.find(callClass);
-    if (it == m_classes.end())
-        it = m_classes.emplace(std::string(callClass), ClassView()).first;
+    auto it = m_estimatesByClass.find(callClass);
+    if (it == m_estimatesByClass.end())
+        it = m_estimatesByClass.emplace(std::string(callClass), ClassEstimates()).first;
     return it->second;
 }
 
-Duration ServiceRouter::usualWork(std::string_view callClass, Duration targetLatency) const
+Duration ServiceRouter::expectedSlotTime(std::string_view callClass, Duration targetLatency) const
 {
-    const auto it = m_classes.find(callClass);
-    const auto guess = fromSeconds(toSeconds(targetLatency) * unknownWorkShare);
-    return it == m_classes.end() ? guess : it->second.work.of(1).value_or(guess);
+    const auto it = m_estimatesByClass.find(callClass);
+    const auto fallback = fromSeconds(toSeconds(targetLatency) * defaultSlotTimeShare);
+    return it == m_estimatesByClass.end() ? fallback : it->second.work.of(1).value_or(fallback);
 }
 
-ChoiceInput ServiceRouter::inputFor(const RouteNeeds& needs, Instant now) const
+ChoiceInput ServiceRouter::choiceInputFor(const CallProfile& profile, Instant now) const
 {
-    const auto it = m_classes.find(needs.callClass);
-    const bool isKnown = it != m_classes.end();
+    const auto it = m_estimatesByClass.find(profile.callClass);
+    const bool hasEstimates = it != m_estimatesByClass.end();
     WorkEstimate work;
-    if (!isKnown)
-        work.add(usualWork(needs.callClass, needs.targetLatency), 1);
-    return { m_views, m_candidates, now, needs.group, needs.targetLatency, isKnown ? it->second.work : work,
-        isKnown ? &it->second.lateChance : &m_unknownChance, needs.relativeBytes };
+    if (!hasEstimates)
+        work.add(expectedSlotTime(profile.callClass, profile.remainingTargetLatency), 1);
+    return { m_views, m_candidates, now, profile.group, profile.remainingTargetLatency,
+        hasEstimates ? it->second.work : work, hasEstimates ? &it->second.lateness : &m_defaultLateness,
+        profile.relativeBytes };
 }
 
-Duration ServiceRouter::expectedAt(const std::string& upstream, const RouteNeeds& needs, Instant now)
+Duration ServiceRouter::expectedResponseTime(
+    const std::string& upstream, const CallProfile& profile, Instant now)
 {
     const auto* view = viewOf(upstream);
-    return view ? TimelyChoice {}.expected(*view, inputFor(needs, now)) : Duration::zero();
+    return view ? TimelyChoice {}.expectedTime(*view, choiceInputFor(profile, now)) : Duration::zero();
 }
 
-double ServiceRouter::slowdownOf(const std::string& upstream)
+double ServiceRouter::reportedSlowdown(const std::string& upstream)
 {
     const auto* view = viewOf(upstream);
     return view && view->report() ? view->report()->load.slowdown : 1;
 }
 
-Duration ServiceRouter::workClockOf(const std::string& upstream, Instant now)
+Duration ServiceRouter::workClockReading(const std::string& upstream, Instant now)
 {
     const auto* view = viewOf(upstream);
     return view ? view->workClock().read(now) : Duration::zero();
 }
 
-Duration ServiceRouter::remainingAt(const std::string& upstream, std::string_view callClass, Duration done)
+Duration ServiceRouter::expectedRemainingTime(
+    const std::string& upstream, std::string_view callClass, Duration completedWork)
 {
     const auto* view = viewOf(upstream);
-    return view ? m_remaining.of(callClass, done, view->workClock().slowdown()) : Duration::zero();
+    return view ? m_remainingTime.remainingTime(callClass, completedWork, view->workClock().slowdown())
+                : Duration::zero();
 }
 
-void ServiceRouter::heard(const std::string& upstream, const Report& report, Instant now)
+void ServiceRouter::onLoadReport(const std::string& upstream, const OwnerReport& report, Instant now)
 {
     auto* view = viewOf(upstream);
     if (!view)
         return;
-    if (const auto slowPhase = view->heard(report))
-        m_remaining.slowPhaseEnded(*slowPhase);
+    if (const auto slowPhase = view->onLoadReport(report))
+        m_remainingTime.addSlowPhase(*slowPhase);
     if (report.load.isDown)
-        pauseLost(*view, now);
+        pauseLostUpstream(*view, now);
     else if (view->state() == UpstreamState::Lost)
-        revive(upstream, now);
+        reactivate(upstream, now);
 }
 
-void ServiceRouter::revive(const std::string& upstream, Instant now)
+void ServiceRouter::reactivate(const std::string& upstream, Instant now)
 {
     m_pauses.erase(upstream);
     if (auto* view = viewOf(upstream))
         view->setState(UpstreamState::Active, now);
 }
 
-void ServiceRouter::endPauses(Instant now)
+void ServiceRouter::endExpiredPauses(Instant now)
 {
     for (auto& [name, pause] : m_pauses) {
         auto* view = viewOf(name);
@@ -184,7 +189,7 @@
     }
 }
 
-void ServiceRouter::pause(UpstreamView& view, UpstreamState state, Duration length, Instant now)
+void ServiceRouter::pauseUpstream(UpstreamView& view, UpstreamState state, Duration length, Instant now)
 {
     auto& it = m_pauses[view.name()];
     it.length = length;
@@ -192,102 +197,103 @@
     view.setState(state, now);
 }
 
-std::optional<std::string> ServiceRouter::pick(
-    std::span<const std::string> excluded, const RouteNeeds& needs, Instant now, Random& random)
+std::optional<std::string> ServiceRouter::pickUpstream(
+    std::span<const std::string> excluded, const CallProfile& profile, Instant now, Random& random)
 {
-    if (now >= m_nextJudgement) {
-        m_nextJudgement = now + judgementEvery;
-        endPauses(now);
-        if (m_options.ejects) {
+    if (now >= m_nextStateCheck) {
+        m_nextStateCheck = now + stateCheckInterval;
+        endExpiredPauses(now);
+        if (m_options.ejectsOutliers) {
             for (const auto i : m_ejection.update(m_views, now))
-                m_views[i].restartWarmUp(now);
+                m_views[i].restartSlowStart(now);
         }
     }
     m_excluded.clear();
     for (const auto& it : excluded) {
-        const auto found = m_index.find(it);
-        if (found != m_index.end())
+        const auto found = m_indexByName.find(it);
+        if (found != m_indexByName.end())
             m_excluded.push_back(found->second);
     }
-    m_ejection.candidates(m_views, m_excluded, now, m_candidates);
-    const auto chosen = choose(m_choice, inputFor(needs, now), random);
+    m_ejection.collectCandidates(m_views, m_excluded, now, m_candidates);
+    const auto chosen = chooseUpstream(m_policy, choiceInputFor(profile, now), random);
     if (!chosen)
         return std::nullopt;
     return m_views[*chosen].name();
 }
 
-Duration ServiceRouter::sent(const std::string& upstream, std::uint32_t group)
+Duration ServiceRouter::onAttemptSent(const std::string& upstream, std::uint32_t group)
 {
     auto* view = viewOf(upstream);
     if (!view)
         return Duration::zero();
-    view->sent(group);
-    auto& use = m_use[group];
-    const Duration others = use.total - use.own[upstream];
-    const auto [it, isFirst] = use.othersAtLastSend.try_emplace(upstream, others);
-    const Duration elsewhere = isFirst ? Duration::zero() : others - it->second;
-    it->second = others;
-    return elsewhere;
+    view->onAttemptSent(group);
+    auto& usage = m_groupUsage[group];
+    const Duration elsewhere = usage.totalSlotTime - usage.slotTimeByUpstream[upstream];
+    const auto [it, isFirst] = usage.elsewhereAtLastSend.try_emplace(upstream, elsewhere);
+    const Duration sinceLastSend = isFirst ? Duration::zero() : elsewhere - it->second;
+    it->second = elsewhere;
+    return sinceLastSend;
 }
 
-void ServiceRouter::answered(const std::string& upstream, std::uint32_t group, const Report& report,
-    Duration held, bool isFailure, Instant now)
+void ServiceRouter::onAttemptAnswered(const std::string& upstream, std::uint32_t group,
+    const OwnerReport& report, Duration slotTime, bool isFailure, Instant now)
 {
-    auto& use = m_use[group];
-    use.total += held;
-    use.own[upstream] += held;
+    auto& usage = m_groupUsage[group];
+    usage.totalSlotTime += slotTime;
+    usage.slotTimeByUpstream[upstream] += slotTime;
     auto* view = viewOf(upstream);
     if (!view)
         return;
-    if (const auto slowPhase = view->answered(group, report, isFailure, now))
-        m_remaining.slowPhaseEnded(*slowPhase);
+    if (const auto slowPhase = view->onAttemptAnswered(group, report, isFailure, now))
+        m_remainingTime.addSlowPhase(*slowPhase);
     m_pauses.erase(upstream);
 }
 
-void ServiceRouter::lost(const std::string& upstream, std::uint32_t group, Instant now)
+void ServiceRouter::onAttemptLost(const std::string& upstream, std::uint32_t group, Instant now)
 {
     auto* view = viewOf(upstream);
     if (!view)
         return;
-    view->gotNoAnswer(group, now);
-    pauseLost(*view, now);
+    view->onAttemptLost(group, now);
+    pauseLostUpstream(*view, now);
 }
 
 std::optional<Duration> ServiceRouter::hedgeDelay() const
 {
-    const auto late = m_options.hedges ? m_latency.late() : std::nullopt;
-    return late ? std::optional(std::max(*late, m_options.leastHedge)) : std::nullopt;
+    const auto lateThreshold = m_options.sendsHedges ? m_callLatency.lateThreshold() : std::nullopt;
+    return lateThreshold ? std::optional(std::max(*lateThreshold, m_options.minHedgeDelay)) : std::nullopt;
 }
 
-void ServiceRouter::pauseLost(UpstreamView& view, Instant now)
+void ServiceRouter::pauseLostUpstream(UpstreamView& view, Instant now)
 {
     if (view.state() == UpstreamState::Lost)
         return;
-    pause(view, UpstreamState::Lost, longerPause(view.name(), now), now);
+    pauseUpstream(view, UpstreamState::Lost, extendPause(view.name(), now), now);
 }
 
-Duration ServiceRouter::longerPause(const std::string& upstream, Instant now)
+Duration ServiceRouter::extendPause(const std::string& upstream, Instant now)
 {
     auto& it = m_pauses[upstream];
     if (now < it.until)
         return it.until - now;
-    const auto longest = m_options.lostFor * (1 << maxPauseDoublings);
-    it.length = it.length > Duration::zero() ? std::min(2 * it.length, longest) : m_options.lostFor;
+    const auto maxLength = m_options.initialLostPause * (1 << maxPauseDoublings);
+    it.length
+        = it.length > Duration::zero() ? std::min(2 * it.length, maxLength) : m_options.initialLostPause;
     it.until = now + it.length;
     return it.length;
 }
 
-void ServiceRouter::attemptTimedOut(const std::string& upstream, Instant now)
+void ServiceRouter::onAttemptLate(const std::string& upstream, Instant now)
 {
     auto* view = viewOf(upstream);
-    if (view && view->late() >= m_options.lateLimit)
-        view->rest(now + longerPause(upstream, now));
+    if (view && view->countLateAnswer() >= m_options.lateAnswersUntilPause)
+        view->pauseUntil(now + extendPause(upstream, now));
 }
 
-void ServiceRouter::abandoned(const std::string& upstream, std::uint32_t group)
+void ServiceRouter::onAttemptAbandoned(const std::string& upstream, std::uint32_t group)
 {
     if (auto* view = viewOf(upstream))
-        view->abandoned(group);
+        view->onAttemptAbandoned(group);
 }
 
 void ServiceRouter::setLeaving(const std::string& upstream, bool isLeaving, Instant now)
@@ -296,15 +302,15 @@
     if (!view || (!isLeaving && view->state() != UpstreamState::Leaving))
         return;
     if (isLeaving)
-        pause(*view, UpstreamState::Leaving, m_options.leavingMemory, now);
+        pauseUpstream(*view, UpstreamState::Leaving, m_options.leavingTimeout, now);
     else
         view->setState(UpstreamState::Active, now);
 }
 
-void ServiceRouter::measuredRoundTrip(const std::string& upstream, Duration roundTrip)
+void ServiceRouter::recordRoundTrip(const std::string& upstream, Duration roundTrip)
 {
     if (auto* view = viewOf(upstream))
-        view->measuredRoundTrip(roundTrip);
+        view->addRoundTripSample(roundTrip);
 }
 
 } // namespace robinrun
--- a/src/Routing/UpstreamView.cpp
+++ b/src/Routing/UpstreamView.cpp
@@ -7,8 +7,8 @@
 namespace {
 
     constexpr double errorSampleWeight = 0.1;
-    constexpr Duration errorMemory = 3s;
-    constexpr double leastWarmth = 0.1;
+    constexpr Duration errorDecayTime = 3s;
+    constexpr double minUsableSlotShare = 0.1;
 
 } // namespace
 
@@ -17,48 +17,48 @@
     , m_slots(slots)
     , m_roundTrip(roundTrip)
     , m_isFar(isFar)
-    , m_errors(errorSampleWeight)
+    , m_failureShare(errorSampleWeight)
 {
-    m_errors.add(0); // one failure among few calls is no share of 1
+    m_failureShare.add(0); // one failure among few calls is no share of 1
 }
 
-void UpstreamView::abandoned(std::uint32_t group)
+void UpstreamView::onAttemptAbandoned(std::uint32_t group)
 {
-    auto& news = m_groups[group];
-    news.inFlight -= news.inFlight ? 1 : 0;
+    auto& groupLoad = m_loadByGroup[group];
+    groupLoad.inFlight -= groupLoad.inFlight ? 1 : 0;
     m_inFlight -= m_inFlight ? 1 : 0;
 }
 
 std::uint32_t UpstreamView::inFlightOf(std::uint32_t group) const
 {
-    const auto it = m_groups.find(group);
-    return it == m_groups.end() ? 0 : it->second.inFlight;
+    const auto it = m_loadByGroup.find(group);
+    return it == m_loadByGroup.end() ? 0 : it->second.inFlight;
 }
 
-std::optional<Duration> UpstreamView::answered(
-    std::uint32_t group, const Report& report, bool isFailure, Instant now)
+std::optional<Duration> UpstreamView::onAttemptAnswered(
+    std::uint32_t group, const OwnerReport& report, bool isFailure, Instant now)
 {
-    abandoned(group);
-    auto& news = m_groups[group];
-    news.waiting = report.load.waiting;
-    news.yours = report.yours;
-    const auto slowPhase = heard(report);
-    m_late = 0;
+    onAttemptAbandoned(group);
+    auto& groupLoad = m_loadByGroup[group];
+    groupLoad.waiting = report.load.waiting;
+    groupLoad.callsOfThisIngress = report.callsOfThisIngress;
+    const auto slowPhase = onLoadReport(report);
+    m_consecutiveLateAnswers = 0;
     m_isOnTrial = false;
-    m_restUntil = {};
-    m_errors.add(isFailure ? 1 : 0);
+    m_pausedUntil = {};
+    m_failureShare.add(isFailure ? 1 : 0);
     if (isFailure)
-        m_lastError = now;
+        m_lastFailure = now;
     if (m_state == UpstreamState::Lost)
         setState(UpstreamState::Active, now);
     return slowPhase;
 }
 
-void UpstreamView::gotNoAnswer(std::uint32_t group, Instant now)
+void UpstreamView::onAttemptLost(std::uint32_t group, Instant now)
 {
-    abandoned(group);
-    m_errors.add(1);
-    m_lastError = now;
+    onAttemptAbandoned(group);
+    m_failureShare.add(1);
+    m_lastFailure = now;
 }
 
 void UpstreamView::setState(UpstreamState state, Instant now)
@@ -66,48 +66,49 @@
     if (state == m_state)
         return;
     if (state == UpstreamState::Active)
-        restartWarmUp(now);
+        restartSlowStart(now);
     m_state = state;
 }
 
-double UpstreamView::othersReported(std::uint32_t group) const
+double UpstreamView::reportedOtherCalls(std::uint32_t group) const
 {
     if (!m_report)
         return 0;
     double total = m_report->load.inUse;
-    const auto it = m_groups.find(group);
-    if (it != m_groups.end())
-        total += double(it->second.waiting) - it->second.yours;
+    const auto it = m_loadByGroup.find(group);
+    if (it != m_loadByGroup.end())
+        total += double(it->second.waiting) - it->second.callsOfThisIngress;
     return std::max(0.0, total);
 }
 
 double UpstreamView::errorShare(Instant now) const
 {
-    const double own = m_errors.value() * freshness(now - m_lastError, errorMemory);
+    const double ownShare = m_failureShare.value() * freshness(now - m_lastFailure, errorDecayTime);
     if (!m_report)
-        return own;
-    return std::max(own, m_report->errorShare * freshness(now - m_report->heard, errorMemory));
+        return ownShare;
+    return std::max(ownShare, m_report->errorShare * freshness(now - m_report->receivedAt, errorDecayTime));
 }
 
-Duration UpstreamView::coldWait(Instant now) const
+Duration UpstreamView::coldStartWait(Instant now) const
 {
     if (!m_report || m_report->load.coldPerSecond <= 0)
         return Duration::zero();
-    const auto age = now - m_report->heard;
+    const auto age = now - m_report->receivedAt;
     const auto coldLeft = m_report->load.coldFor - age;
     if (coldLeft <= Duration::zero())
         return Duration::zero();
-    const double unheard = std::max(double(m_inFlight) - m_report->yours, 0.0);
-    const auto wait = m_report->load.nextStart - age + fromSeconds(unheard / m_report->load.coldPerSecond);
+    const double callsSinceReport = std::max(double(m_inFlight) - m_report->callsOfThisIngress, 0.0);
+    const auto wait
+        = m_report->load.nextStart - age + fromSeconds(callsSinceReport / m_report->load.coldPerSecond);
     return std::clamp(wait, Duration::zero(), coldLeft);
 }
 
-double UpstreamView::warmth(Duration warmUp, Instant now) const
+double UpstreamView::usableSlotShare(Duration slowStartDuration, Instant now) const
 {
-    if (!m_coldSince || warmUp <= Duration::zero())
+    if (!m_slowStartBegin || slowStartDuration <= Duration::zero())
         return 1;
-    const double part = toSeconds(now - *m_coldSince) / toSeconds(warmUp);
-    return std::clamp(part, leastWarmth, 1.0);
+    const double elapsedShare = toSeconds(now - *m_slowStartBegin) / toSeconds(slowStartDuration);
+    return std::clamp(elapsedShare, minUsableSlotShare, 1.0);
 }
 
 } // namespace robinrun
--- a/src/Routing/UpstreamView.h
+++ b/src/Routing/UpstreamView.h
@@ -25,12 +25,13 @@
 };
 
 /// \brief What an owner said about its upstream in an answer to a call of one group, and when it was heard.
-struct Report {
+struct OwnerReport {
     LoadReport load; ///< `waiting` counts the calls that would go before a new one of the group
-    std::uint32_t yours = 0; ///< calls in use or waiting that this ingress has sent for the group
-    std::uint32_t queued = 0; ///< calls waiting, of all groups
+    std::uint32_t callsOfThisIngress
+        = 0; ///< calls in use or waiting that this ingress has sent for the group
+    std::uint32_t queuedCalls = 0; ///< calls waiting, of all groups
     double errorShare = 0; ///< recent share of failed answers, over all callers
-    Instant heard {};
+    Instant receivedAt {};
 };
 
 /// \brief All an ingress knows of one upstream: its own calls exactly, all else as old as the last answer.
@@ -43,57 +44,58 @@
     UpstreamView(std::string name, std::uint32_t slots, Duration roundTrip, bool isFar = false);
 
     /// \brief A call was sent.
-    void sent(std::uint32_t group)
+    void onAttemptSent(std::uint32_t group)
     {
         ++m_inFlight;
-        ++m_groups[group].inFlight;
+        ++m_loadByGroup[group].inFlight;
     }
 
     /// \brief An answer came, with the owner's news; \a isFailure for answers that failed at the backend
     /// server. \returns as heard().
-    std::optional<Duration> answered(std::uint32_t group, const Report& report, bool isFailure, Instant now);
+    std::optional<Duration> onAttemptAnswered(
+        std::uint32_t group, const OwnerReport& report, bool isFailure, Instant now);
 
     /// \brief The owner tells its load, by itself or with an answer.
     /// \returns the length of the slow phase that has ended with this; nothing if none has.
-    std::optional<Duration> heard(const Report& report)
+    std::optional<Duration> onLoadReport(const OwnerReport& report)
     {
         m_report = report;
-        return m_workClock.told(report.load.slowdown, report.heard);
+        return m_workClock.told(report.load.slowdown, report.receivedAt);
     }
 
     /// \returns how long a call that is sent now waits there because the server is cold and gets its calls at
     /// a pace; zero if it doesn't. Calls that were sent since the last news go before it.
-    Duration coldWait(Instant now) const;
+    Duration coldStartWait(Instant now) const;
 
     /// \returns the clock of the work that a call gets done there.
     const WorkClock& workClock() const { return m_workClock; }
 
     /// \brief No answer came in time, or the node is gone.
-    void gotNoAnswer(std::uint32_t group, Instant now);
+    void onAttemptLost(std::uint32_t group, Instant now);
 
     /// \brief This side gave an attempt up; nothing is learnt from it.
-    void abandoned(std::uint32_t group);
+    void onAttemptAbandoned(std::uint32_t group);
 
     /// \brief A round trip was measured; it replaces the guess bit by bit.
-    void measuredRoundTrip(Duration roundTrip) { m_roundTrip += (roundTrip - m_roundTrip) / 8; }
+    void addRoundTripSample(Duration roundTrip) { m_roundTrip += (roundTrip - m_roundTrip) / 8; }
 
     /// \brief An answer is late. \returns how many have been since the last answer of any kind.
-    unsigned late() { return ++m_late; }
+    unsigned countLateAnswer() { return ++m_consecutiveLateAnswers; }
 
     /// \brief After a silence: one call at a time, until an answer comes.
     void startTrial() { m_isOnTrial = true; }
 
     /// \brief Leaves it out until \a end while there are others, then gives it one call at a time.
-    void rest(Instant end)
+    void pauseUntil(Instant end)
     {
-        m_restUntil = end;
+        m_pausedUntil = end;
         startTrial();
     }
 
     /// \returns whether it is worth a new call now. One that isn't is still used when there is no other.
     bool isAvailable(Instant now) const
     {
-        return m_state == UpstreamState::Active && now >= m_restUntil && !(m_isOnTrial && m_inFlight > 0);
+        return m_state == UpstreamState::Active && now >= m_pausedUntil && !(m_isOnTrial && m_inFlight > 0);
     }
 
     void setState(UpstreamState state, Instant now);
@@ -101,7 +103,7 @@
     void setFar(bool isFar) { m_isFar = isFar; }
 
     /// \brief Starts the slow start: the upstream is cold from \a now on.
-    void restartWarmUp(Instant now) { m_coldSince = now; }
+    void restartSlowStart(Instant now) { m_slowStartBegin = now; }
 
     const std::string& name() const { return m_name; }
     std::uint32_t slots() const { return m_slots; }
@@ -111,23 +113,23 @@
     /// \returns own calls of one group that are out.
     std::uint32_t inFlightOf(std::uint32_t group) const;
     UpstreamState state() const { return m_state; }
-    const std::optional<Report>& report() const { return m_report; }
+    const std::optional<OwnerReport>& report() const { return m_report; }
 
     /// \returns calls of others that a new call of \a group would have to share with or wait for, as last
     /// reported.
-    double othersReported(std::uint32_t group) const;
+    double reportedOtherCalls(std::uint32_t group) const;
 
     /// \returns the larger of the own and the reported share of failures, old news counting less.
     double errorShare(Instant now) const;
 
-    /// \returns the part of its slots, in (0, 1], to count on while it warms up over \a warmUp.
-    double warmth(Duration warmUp, Instant now) const;
+    /// \returns the part of its slots, in (0, 1], to count on while it warms up over \a slowStartDuration.
+    double usableSlotShare(Duration slowStartDuration, Instant now) const;
 
 private:
-    struct GroupNews {
+    struct GroupLoad {
         std::uint32_t inFlight = 0;
         std::uint32_t waiting = 0;
-        std::uint32_t yours = 0;
+        std::uint32_t callsOfThisIngress = 0;
     };
 
     std::string m_name;
@@ -136,15 +138,15 @@
     bool m_isFar;
     std::uint32_t m_inFlight = 0;
     UpstreamState m_state = UpstreamState::Active;
-    std::optional<Report> m_report;
+    std::optional<OwnerReport> m_report;
     WorkClock m_workClock;
-    std::unordered_map<std::uint32_t, GroupNews> m_groups;
-    Ewma m_errors;
-    Instant m_lastError {};
-    std::optional<Instant> m_coldSince;
-    unsigned m_late = 0;
+    std::unordered_map<std::uint32_t, GroupLoad> m_loadByGroup;
+    Ewma m_failureShare;
+    Instant m_lastFailure {};
+    std::optional<Instant> m_slowStartBegin;
+    unsigned m_consecutiveLateAnswers = 0;
     bool m_isOnTrial = false;
-    Instant m_restUntil {};
+    Instant m_pausedUntil {};
 };
 
 } // namespace robinrun
--- a/src/Settings/NodeSettings.cpp
+++ b/src/Settings/NodeSettings.cpp
@@ -86,7 +86,7 @@
 
     void readChoice(YamlReader reader, NodeSettings& out)
     {
-        out.choice.kind = reader.choice("policy", ChoiceKind::ExpectedDelay);
+        out.choice.kind = reader.choice("policy", ChoicePolicyKind::ExpectedDelay);
         out.choice.subset = reader.count("subset", 1, 1000, 20);
         out.choice.hallRoundTrip = reader.duration("hall_round_trip", 0us, 1s, 2ms);
         out.choice.regionRoundTrip = reader.duration("region_round_trip", 0us, 1s, 60ms);
--- a/src/Settings/NodeSettings.h
+++ b/src/Settings/NodeSettings.h
@@ -3,7 +3,7 @@
 #include "Core/Log.h"
 #include "Core/Result.h"
 #include "Core/Time.h"
-#include "Routing/Choice.h"
+#include "Routing/ChoicePolicy.h"
 #include "Settings/Mechanism.h"
 #include "Settings/YamlReader.h"
 
@@ -99,7 +99,7 @@
     } limits;
 
     struct {
-        ChoiceKind kind {};
+        ChoicePolicyKind kind {};
         std::uint64_t subset = 0; ///< upstreams of a service to keep connections to
         Duration hallRoundTrip {}; ///< first guess, until measured
         Duration regionRoundTrip {};
--- a/test/CallersTest.cpp
+++ b/test/CallersTest.cpp
@@ -220,7 +220,7 @@
 {
     rc::prop("versions and calls", [] {
         Directory directory;
-        WeightedTurns turns(1);
+        WeightedRoundRobin turns(1);
         const auto names = bearerNames();
         const auto owners = *rc::gen::container<std::vector<int>>(12, rc::gen::inRange(-1, 4));
         for (const auto owner : owners) {
@@ -255,7 +255,7 @@
         resources[2].set_name("groups/g");
         resources[2].mutable_group()->set_credential_sha256(sha256Hex("k"));
         directory.rebuild(resources);
-        WeightedTurns turns(1);
+        WeightedRoundRobin turns(1);
         const auto names = bearerNames();
         CallerContext caller;
         caller.isStrict = isStrict;
--- a/test/HallSubsetTest.cpp
+++ b/test/HallSubsetTest.cpp
@@ -42,11 +42,11 @@
         std::vector<std::string> hosts;
         for (std::size_t i = hall; i < site.hosts; i += site.halls)
             hosts.push_back(hostName(i));
-        std::vector<UpstreamPlace> upstreams;
+        std::vector<UpstreamLocation> upstreams;
         for (std::size_t i = 0; i < site.upstreams; ++i)
             upstreams.push_back({ upstreamName(i), i % site.halls == hall });
         for (const auto& self : hosts) {
-            for (const auto i : chooseByHall(upstreams, hosts, self, size))
+            for (const auto i : chooseHallSubset(upstreams, hosts, self, size))
                 ++(upstreams[i].isNear ? out[i].first : out[i].second);
         }
     }
--- a/test/IngressTest.cpp
+++ b/test/IngressTest.cpp
@@ -140,7 +140,7 @@
         upstream.mutable_upstream()->set_slots(4);
         resources.push_back(upstream);
     }
-    f.context.settings.choice.kind = ChoiceKind::Timely;
+    f.context.settings.choice.kind = ChoicePolicyKind::Timely;
     f.context.settings.choice.subset = 24;
     f.context.settings.dataHall = "hall-1";
     f.context.directory.rebuild(resources);
--- a/test/OwnerClockTest.cpp
+++ b/test/OwnerClockTest.cpp
@@ -52,7 +52,7 @@
         if (lives.empty() || *rc::gen::inRange(0, 20) == 0)
             lives.push_back({ any(-50 * million, 50 * million),
                 *rc::gen::inRange<std::int64_t>(
-                    -OwnerClock::driftPerMillion + 1, OwnerClock::driftPerMillion),
+                    -OwnerClock::maxDriftPerMillion + 1, OwnerClock::maxDriftPerMillion),
                 now });
         const auto& clock = lives.back();
         const auto received = now + any(20, million / 5);
@@ -99,18 +99,19 @@
             const auto& sample = calls[i].sample;
             if (!clock)
                 clock.emplace(sample);
-            clock->learn(sample);
+            clock->addSample(sample);
             RC_ASSERT(clock->incarnation() == sample.incarnation);
-            const auto deadline = sample.heard + any(0, 5 * million);
-            const auto told = clock->at(deadline);
+            const auto deadline = sample.answerReceived + any(0, 5 * million);
+            const auto told = clock->upperBoundAt(deadline);
             const auto truth = lives[calls[i].life].at(deadline);
             RC_ASSERT(told >= truth);
             for (std::size_t j = 0; j <= i; ++j) {
-                const bool isInWindow = sample.heard - calls[j].sample.heard < OwnerClock::halfWindow;
+                const bool isInWindow
+                    = sample.answerReceived - calls[j].sample.answerReceived < OwnerClock::halfWindow;
                 if (calls[j].life != calls[i].life || !isInWindow)
                     continue;
                 const auto age = (deadline - calls[j].sample.sent).count();
-                const Duration drift(2 * OwnerClock::driftPerMillion * age / million + 3);
+                const Duration drift(2 * OwnerClock::maxDriftPerMillion * age / million + 3);
                 RC_ASSERT(told <= truth + calls[j].way + drift);
             }
         }
@@ -123,10 +124,10 @@
     constexpr Duration jump = 700ms; // this node's clock stood still for so long
     const Instant sent { 100s };
     OwnerClock clock({ 1, sent, sent + way, sent + way, sent + 2 * way });
-    REQUIRE(clock.at(sent + 1s) < sent + 1s + jump);
+    REQUIRE(clock.upperBoundAt(sent + 1s) < sent + 1s + jump);
     const auto later = sent + 1s;
-    clock.learn({ 1, later, later + jump + way, later + jump + way, later + 2 * way });
-    REQUIRE(clock.at(later + 1s) >= later + 1s + jump);
+    clock.addSample({ 1, later, later + jump + way, later + jump + way, later + 2 * way });
+    REQUIRE(clock.upperBoundAt(later + 1s) >= later + 1s + jump);
 }
 
 // Guards against runs that were broken off before their deadlines, because an answer that told the owner's
--- a/test/RegistryTest.cpp
+++ b/test/RegistryTest.cpp
@@ -1,7 +1,7 @@
 #include "Mesh/AnnouncedUpstream.h"
 #include "Mesh/ConfigHolder.h"
 #include "Mesh/NodeRegistry.h"
-#include "Routing/WeightedTurns.h"
+#include "Routing/WeightedRoundRobin.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -125,29 +125,29 @@
     rc::prop("weights", [] {
         const auto first = *rc::gen::inRange(1, 100);
         const auto second = *rc::gen::inRange(1, 100);
-        WeightedTurns turns(*rc::gen::arbitrary<std::uint64_t>());
-        const WeightedTurns::Split split { { "a", first }, { "b", second } };
+        WeightedRoundRobin turns(*rc::gen::arbitrary<std::uint64_t>());
+        const WeightedRoundRobin::Split split { { "a", first }, { "b", second } };
         int ofFirst = 0;
         for (int i = 1; i <= 200; ++i) {
-            ofFirst += turns.next("r", split) == "a";
+            ofFirst += turns.nextTarget("r", split) == "a";
             const double due = double(i) * first / (first + second);
             RC_ASSERT(std::abs(ofFirst - due) <= 1);
         }
     });
-    WeightedTurns turns(1);
-    REQUIRE(turns.next("r", {}) == "");
-    REQUIRE(turns.next("r", { { "only", 0 } }) == "only");
+    WeightedRoundRobin turns(1);
+    REQUIRE(turns.nextTarget("r", {}) == "");
+    REQUIRE(turns.nextTarget("r", { { "only", 0 } }) == "only");
 }
 
 TEST_CASE("Parts of a split get their weights too where many nodes see few calls each", "[mesh]")
 {
     // 100 nodes with two calls each: started alike, all of them would send both to the larger part.
-    const WeightedTurns::Split split { { "a", 3 }, { "b", 1 } };
+    const WeightedRoundRobin::Split split { { "a", 3 }, { "b", 1 } };
     int ofFirst = 0;
     for (std::uint64_t node = 0; node < 100; ++node) {
-        WeightedTurns turns(node);
+        WeightedRoundRobin turns(node);
         for (int i = 0; i < 2; ++i)
-            ofFirst += turns.next("r", split) == "a";
+            ofFirst += turns.nextTarget("r", split) == "a";
     }
     REQUIRE(std::abs(ofFirst - 150) <= 20);
 }
--- a/test/RoutedCallsTest.cpp
+++ b/test/RoutedCallsTest.cpp
@@ -20,7 +20,7 @@
     ConfigState config = support::exampleConfig(backend);
 
     RouteFixture()
-        : IngressFixture(ChoiceKind::Timely)
+        : IngressFixture(ChoicePolicyKind::Timely)
     {
         putRoute("routes/read", "/read/", proto::REPEATABLE, 2);
         putRoute("routes/pay", "/pay/", proto::SINGLE_DISPATCH, 2);
@@ -153,7 +153,7 @@
         ingress.configure(now);
         for (const auto& [service, router] : ingress.routers()) {
             router->setRetryFraction(0);
-            router->firstAttempt(0);
+            router->recordFirstAttempt(0);
             router->chargeRetries(0, -n);
         }
     }
@@ -415,7 +415,7 @@
     f.learnNested(2);
     f.saveUp(9);
     auto& nested = *f.ingress.routers().at("t");
-    while (nested.trySpendRetry(0, RetryClaim::Nested, f.now)) { }
+    while (nested.trySpendRetry(0, RetryPriority::Nested, f.now)) { }
     nested.chargeRetries(0, -5);
     f.refuse(f.routed("/read/x"), Reason::BackendRefused, true);
     REQUIRE(f.outcome() == "not-run");
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -1,6 +1,6 @@
 #include "Routing/Ejection.h"
+#include "Routing/NodeRetryBounds.h"
 #include "Routing/RetryBudget.h"
-#include "Routing/RetryPlan.h"
 #include "Routing/ServiceRouter.h"
 #include "Routing/Subset.h"
 
@@ -15,20 +15,20 @@
 
 constexpr std::uint32_t group = 1;
 
-std::vector<RouteTarget> targets(int n)
+std::vector<UpstreamConfig> targets(int n)
 {
-    std::vector<RouteTarget> out;
+    std::vector<UpstreamConfig> out;
     for (int i = 0; i < n; ++i)
         out.push_back({ "u" + std::to_string(i), 12, 1ms });
     return out;
 }
 
-Report report(std::uint32_t inUse, Duration service, Instant heard, double errors = 0)
+OwnerReport report(std::uint32_t inUse, Duration service, Instant heard, double errors = 0)
 {
-    Report out;
+    OwnerReport out;
     out.load = { 12, inUse, 0, service };
     out.errorShare = errors;
-    out.heard = heard;
+    out.receivedAt = heard;
     return out;
 }
 
@@ -37,13 +37,13 @@
 {
     std::map<std::string, int> counts;
     for (int i = 0; i < n; ++i) {
-        const auto name = *router.pick({}, { group }, now, random);
-        router.sent(name, group);
+        const auto name = *router.pickUpstream({}, { group }, now, random);
+        router.onAttemptSent(name, group);
         ++counts[name];
     }
     for (const auto& [name, sent] : counts) {
         for (int i = 0; i < sent; ++i)
-            router.abandoned(name, group);
+            router.onAttemptAbandoned(name, group);
     }
     return counts;
 }
@@ -57,8 +57,8 @@
     router.setUpstreams(targets(4), {});
     std::map<std::string, int> counts;
     for (int i = 0; i < 40; ++i) {
-        const auto name = *router.pick({}, { group }, {}, random);
-        router.sent(name, group);
+        const auto name = *router.pickUpstream({}, { group }, {}, random);
+        router.onAttemptSent(name, group);
         ++counts[name];
     }
     for (const auto& [name, n] : counts)
@@ -74,13 +74,13 @@
         Random random(static_cast<std::uint64_t>(ingress));
         router.setUpstreams(targets(4), {});
         for (int i = 0; i < 4; ++i) {
-            router.sent("u" + std::to_string(i), group);
-            router.answered(
+            router.onAttemptSent("u" + std::to_string(i), group);
+            router.onAttemptAnswered(
                 "u" + std::to_string(i), group, report(i == 0 ? 5 : 6, 10ms, {}), 10ms, false, {});
         }
         for (int i = 0; i < 2; ++i) {
-            const auto name = *router.pick({}, { group }, Instant(20ms), random);
-            router.sent(name, group);
+            const auto name = *router.pickUpstream({}, { group }, Instant(20ms), random);
+            router.onAttemptSent(name, group);
             ++counts[name];
         }
     }
@@ -95,8 +95,8 @@
     router.setUpstreams(targets(4), {});
     for (int i = 0; i < 4; ++i) {
         const auto name = "u" + std::to_string(i);
-        router.sent(name, group);
-        router.answered(name, group, report(3, i == 0 ? 100ms : 10ms, {}), 10ms, false, {});
+        router.onAttemptSent(name, group);
+        router.onAttemptAnswered(name, group, report(3, i == 0 ? 100ms : 10ms, {}), 10ms, false, {});
     }
     REQUIRE(spread(router, 12, Instant(1ms), random)["u0"] == 0);
     REQUIRE(spread(router, 12, Instant(60s), random)["u0"] == 3);
@@ -109,8 +109,8 @@
     router.setUpstreams(targets(4), {});
     Instant now {};
     for (int i = 0; i < 10; ++i) {
-        router.sent("u0", group);
-        router.answered("u0", group, report(0, 1ms, now, 1), 0ms, true, now);
+        router.onAttemptSent("u0", group);
+        router.onAttemptAnswered("u0", group, report(0, 1ms, now, 1), 0ms, true, now);
     }
     REQUIRE(spread(router, 100, now + 30ms, random)["u0"] == 0);
     REQUIRE(router.ejection().isEjected(0, now + 30ms));
@@ -125,13 +125,13 @@
         for (std::size_t i = 0; i < bad.size(); ++i) {
             views.emplace_back("u" + std::to_string(i), 12, 1ms);
             for (int k = 0; k < 5; ++k)
-                views.back().answered(group, report(0, 1ms, {}, bad[i]), bad[i], {});
+                views.back().onAttemptAnswered(group, report(0, 1ms, {}, bad[i]), bad[i], {});
         }
         Ejection ejection({});
         ejection.update(views, {});
         RC_ASSERT(ejection.ejectedCount({}) <= bad.size() / 2);
         std::vector<std::size_t> out;
-        ejection.candidates(views, {}, {}, out);
+        ejection.collectCandidates(views, {}, {}, out);
         RC_ASSERT(2 * out.size() >= bad.size());
     });
 }
@@ -142,18 +142,18 @@
     Random random(1);
     router.setUpstreams(targets(2), {});
     Instant now {};
-    router.sent("u0", group);
-    router.lost("u0", group, now);
+    router.onAttemptSent("u0", group);
+    router.onAttemptLost("u0", group, now);
     REQUIRE(spread(router, 50, now + 500ms, random)["u0"] == 0);
     now += 1100ms;
     std::map<std::string, int> counts;
     for (int i = 0; i < 50; ++i) {
-        const auto name = *router.pick({}, { group }, now, random);
-        router.sent(name, group);
+        const auto name = *router.pickUpstream({}, { group }, now, random);
+        router.onAttemptSent(name, group);
         ++counts[name];
     }
     REQUIRE(counts["u0"] == 1);
-    router.answered("u0", group, report(0, 10ms, now), 10ms, false, now);
+    router.onAttemptAnswered("u0", group, report(0, 10ms, now), 10ms, false, now);
     REQUIRE(spread(router, 50, now + 10s, random)["u0"] > 0);
 }
 
@@ -163,16 +163,16 @@
     Random random(1);
     router.setUpstreams(targets(3), {});
     for (const std::string it : { "u0", "u1" }) {
-        router.sent(it, group);
-        router.lost(it, group, {});
+        router.onAttemptSent(it, group);
+        router.onAttemptLost(it, group, {});
     }
-    REQUIRE(router.pick({}, { group }, {}, random) == "u2");
-    REQUIRE_FALSE(router.pick(std::vector<std::string> { "u2" }, { group }, {}, random));
+    REQUIRE(router.pickUpstream({}, { group }, {}, random) == "u2");
+    REQUIRE_FALSE(router.pickUpstream(std::vector<std::string> { "u2" }, { group }, {}, random));
     router.setLeaving("u2", true, {});
     const std::vector<std::string> tried { "u0" };
-    REQUIRE(router.pick(tried, { group }, {}, random) == "u1");
+    REQUIRE(router.pickUpstream(tried, { group }, {}, random) == "u1");
     const std::vector<std::string> both { "u0", "u1" };
-    REQUIRE_FALSE(router.pick(both, { group }, {}, random));
+    REQUIRE_FALSE(router.pickUpstream(both, { group }, {}, random));
 }
 
 TEST_CASE("A leaving upstream gets nothing, until it stays after all or a while has passed", "[routing]")
@@ -192,13 +192,13 @@
 {
     ServiceRouter router({});
     router.setUpstreams(targets(2), {});
-    REQUIRE(router.sent("u0", group) == 0us);
-    router.answered("u0", group, report(0, 10ms, {}), 10ms, false, {});
-    REQUIRE(router.sent("u1", group) == 0us); // the first call to it has no earlier one
-    router.answered("u1", group, report(0, 10ms, {}), 7ms, false, {});
-    REQUIRE(router.sent("u0", group) == 7ms);
-    REQUIRE(router.sent("u0", group) == 0us);
-    REQUIRE(router.sent("u1", group) == 0us);
+    REQUIRE(router.onAttemptSent("u0", group) == 0us);
+    router.onAttemptAnswered("u0", group, report(0, 10ms, {}), 10ms, false, {});
+    REQUIRE(router.onAttemptSent("u1", group) == 0us); // the first call to it has no earlier one
+    router.onAttemptAnswered("u1", group, report(0, 10ms, {}), 7ms, false, {});
+    REQUIRE(router.onAttemptSent("u0", group) == 7ms);
+    REQUIRE(router.onAttemptSent("u0", group) == 0us);
+    REQUIRE(router.onAttemptSent("u1", group) == 0us);
 }
 
 TEST_CASE("Retries stay within the burst and a fraction of first attempts", "[routing]")
@@ -209,9 +209,9 @@
         double retries = 0;
         for (const bool it : isRetry) {
             if (it) {
-                retries += budget.trySpend(RetryClaim::Outside, {});
+                retries += budget.trySpend(RetryPriority::Outside, {});
             } else {
-                budget.firstAttempt();
+                budget.recordFirstAttempt();
                 ++first;
             }
             RC_ASSERT(retries <= 3 + 0.1 * first + 1e-9);
@@ -226,10 +226,10 @@
         const auto nodes = *rc::gen::inRange<std::size_t>(1, 12);
         const double ratio = *rc::gen::inRange(0, 50) / 100.0;
         const double slack = static_cast<double>(nodes) * *rc::gen::inRange(2, 8);
-        const auto fresh = [&] { return RetryBudget(plannedRetryFraction(ratio), leastRetryBurst); };
+        const auto fresh = [&] { return RetryBudget(nodeRetryFraction(ratio), minRetryBurst); };
         std::vector<RetryBudget> budgets;
         for (std::size_t i = 0; i < nodes; ++i)
-            budgets.emplace_back(plannedRetryFraction(ratio), plannedRetryBurst(slack, nodes));
+            budgets.emplace_back(nodeRetryFraction(ratio), nodeRetryBurst(slack, nodes));
         std::vector<bool> hasStarted(nodes);
         std::vector<double> pending(nodes);
         const auto steps = *rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
@@ -240,9 +240,9 @@
             const auto step = static_cast<Step>(what);
             if (step == Step::Request) {
                 ++requests;
-                budgets[i].firstAttempt();
+                budgets[i].recordFirstAttempt();
             } else if (step == Step::Retry) {
-                const bool isPaid = budgets[i].trySpend(static_cast<RetryClaim>(steps.size() % 3), {});
+                const bool isPaid = budgets[i].trySpend(static_cast<RetryPriority>(steps.size() % 3), {});
                 arrivals += isPaid;
                 pending[i] += isPaid;
             } else if (step == Step::GiveBack && pending[i] > 0) {
@@ -252,7 +252,7 @@
             } else if (step == Step::Start && !hasStarted[i]) {
                 hasStarted[i] = true;
                 budgets[i] = fresh();
-                budgets[i].setBounds(plannedRetryFraction(ratio), plannedRetryBurst(slack, nodes));
+                budgets[i].setBounds(nodeRetryFraction(ratio), nodeRetryBurst(slack, nodes));
                 pending[i] = 0;
             }
             RC_ASSERT(arrivals <= ratio * requests + slack + 1e-9);
@@ -267,20 +267,20 @@
     const Instant start {};
     RetryBudget budget(0.5, 1);
     const auto earn = [&] {
-        budget.firstAttempt();
-        budget.firstAttempt();
+        budget.recordFirstAttempt();
+        budget.recordFirstAttempt();
     };
-    REQUIRE(budget.trySpend(RetryClaim::Outside, start));
-    REQUIRE_FALSE(budget.trySpend(RetryClaim::Nested, start));
+    REQUIRE(budget.trySpend(RetryPriority::Outside, start));
+    REQUIRE_FALSE(budget.trySpend(RetryPriority::Nested, start));
     earn();
-    REQUIRE_FALSE(budget.trySpend(RetryClaim::Outside, start + 100ms));
-    REQUIRE(budget.trySpend(RetryClaim::Nested, start + 200ms));
-    REQUIRE_FALSE(budget.trySpend(RetryClaim::LastNested, start + 300ms));
+    REQUIRE_FALSE(budget.trySpend(RetryPriority::Outside, start + 100ms));
+    REQUIRE(budget.trySpend(RetryPriority::Nested, start + 200ms));
+    REQUIRE_FALSE(budget.trySpend(RetryPriority::LastNested, start + 300ms));
     earn();
-    REQUIRE_FALSE(budget.trySpend(RetryClaim::Nested, start + 400ms));
-    REQUIRE(budget.trySpend(RetryClaim::LastNested, start + 500ms));
+    REQUIRE_FALSE(budget.trySpend(RetryPriority::Nested, start + 400ms));
+    REQUIRE(budget.trySpend(RetryPriority::LastNested, start + 500ms));
     earn();
-    REQUIRE(budget.trySpend(RetryClaim::Outside, start + 2s));
+    REQUIRE(budget.trySpend(RetryPriority::Outside, start + 2s));
 }
 
 TEST_CASE("A changed share of the retries gives no new ones", "[routing]")
@@ -289,7 +289,7 @@
     const auto spend = [&](int n) {
         int spent = 0;
         for (int i = 0; i < n; ++i)
-            spent += router.trySpendRetry(group, RetryClaim::Outside, {});
+            spent += router.trySpendRetry(group, RetryPriority::Outside, {});
         return spent;
     };
     REQUIRE(spend(2) == 2);
@@ -298,8 +298,8 @@
     REQUIRE(spend(5) == 1);
     router.setRetryFraction(0.5);
     REQUIRE(spend(5) == 0);
-    router.firstAttempt(group);
-    router.firstAttempt(group);
+    router.recordFirstAttempt(group);
+    router.recordFirstAttempt(group);
     REQUIRE(spend(5) == 1);
 }
 
@@ -345,15 +345,15 @@
     Random random(1);
     router.setUpstreams(targets(2), {});
     for (int i = 0; i < 3; ++i) {
-        router.sent("u0", group);
-        router.attemptTimedOut("u0", {});
+        router.onAttemptSent("u0", group);
+        router.onAttemptLate("u0", {});
     }
     REQUIRE(spread(router, 20, {}, random)["u0"] == 0);
     const std::vector<std::string> other { "u1" };
-    REQUIRE(router.pick(other, { group }, {}, random) == "u0");
+    REQUIRE(router.pickUpstream(other, { group }, {}, random) == "u0");
     REQUIRE(spread(router, 20, Instant(900ms), random)["u0"] == 0);
     for (int i = 0; i < 3; ++i)
-        router.abandoned("u0", group);
+        router.onAttemptAbandoned("u0", group);
     REQUIRE(spread(router, 20, Instant(1100ms), random)["u0"] == 1);
 }
 
@@ -362,14 +362,14 @@
     ServiceRouter router({});
     REQUIRE_FALSE(router.hedgeDelay());
     for (int i = 0; i < 30; ++i)
-        router.measuredLatency(100us);
+        router.recordCallLatency(100us);
     REQUIRE(router.hedgeDelay() == 5ms);
     Random random(1);
     int late = 0;
     for (int i = 0; i < 20000; ++i) {
         const auto latency = fromSeconds(random.logNormal(0.05, 0.5));
         late += i > 1000 && latency > *router.hedgeDelay();
-        router.measuredLatency(latency);
+        router.recordCallLatency(latency);
     }
     REQUIRE(late > 5);
     REQUIRE(late < 100);
--- a/test/SettingsTest.cpp
+++ b/test/SettingsTest.cpp
@@ -70,7 +70,7 @@
     const auto settings = NodeSettings::load(file.path()).value();
     REQUIRE(settings.drainTimeout == 1500ms);
     REQUIRE(settings.limits.body == 2U << 20U);
-    REQUIRE(settings.choice.kind == ChoiceKind::ExpectedDelay);
+    REQUIRE(settings.choice.kind == ChoicePolicyKind::ExpectedDelay);
     REQUIRE(settings.claims.keyLifetime == 10min);
 }
 
--- a/test/TimelyTest.cpp
+++ b/test/TimelyChoiceTest.cpp
@@ -2,8 +2,8 @@
 #include "Queueing/Admission.h"
 #include "Queueing/WorkClock.h"
 #include "Queueing/WorkEstimate.h"
-#include "Routing/CallBytes.h"
-#include "Routing/RemainingTime.h"
+#include "Routing/CallSizeEstimate.h"
+#include "Routing/RemainingTimeEstimate.h"
 #include "Routing/ServiceRouter.h"
 
 #include <catch2/catch.hpp>
@@ -36,22 +36,22 @@
     return admission;
 }
 
-ServiceRouter routerOf(std::vector<RouteTarget> targets)
+ServiceRouter routerOf(std::vector<UpstreamConfig> targets)
 {
     ServiceRouter::Options options;
-    options.kind = ChoiceKind::Timely;
+    options.policyKind = ChoicePolicyKind::Timely;
     ServiceRouter router(options);
     router.setUpstreams(targets, start);
     for (int i = 0; i < 50; ++i)
-        router.measuredWork("c", 100ms, 1);
+        router.recordSlotTime("c", 100ms, 1);
     return router;
 }
 
-Report told(double slowdown, std::uint32_t inUse)
+OwnerReport told(double slowdown, std::uint32_t inUse)
 {
-    Report report;
+    OwnerReport report;
     report.load = { 9, inUse, 0, 100ms, slowdown };
-    report.heard = start;
+    report.receivedAt = start;
     return report;
 }
 
@@ -101,14 +101,14 @@
 {
     auto router = routerOf({ { "near", 9, 0ms, false }, { "far", 9, 2ms, true } });
     Random random(1);
-    const RouteNeeds needs { 0, "c", 250ms };
-    REQUIRE(router.pick({}, needs, start, random) == "near");
-    router.heard("near", told(4, 1), start);
-    REQUIRE(router.pick({}, needs, start, random) == "far");
-    router.heard("near", told(1, 1), start);
-    REQUIRE(router.pick({}, needs, start, random) == "near");
-    router.heard("near", told(1, 40), start); // a queue that makes it late
-    REQUIRE(router.pick({}, needs, start, random) == "far");
+    const CallProfile needs { 0, "c", 250ms };
+    REQUIRE(router.pickUpstream({}, needs, start, random) == "near");
+    router.onLoadReport("near", told(4, 1), start);
+    REQUIRE(router.pickUpstream({}, needs, start, random) == "far");
+    router.onLoadReport("near", told(1, 1), start);
+    REQUIRE(router.pickUpstream({}, needs, start, random) == "near");
+    router.onLoadReport("near", told(1, 40), start); // a queue that makes it late
+    REQUIRE(router.pickUpstream({}, needs, start, random) == "far");
 }
 
 TEST_CASE("An upstream whose backend server is down is left out until it is up", "[timely]")
@@ -117,12 +117,12 @@
     Random random(1);
     auto down = told(1, 0);
     down.load.isDown = true;
-    router.heard("a", down, start);
+    router.onLoadReport("a", down, start);
     for (int i = 0; i < 10; ++i)
-        REQUIRE(router.pick({}, { 0, "c", 250ms }, start, random) == "b");
-    router.heard("a", told(1, 0), start);
-    router.heard("b", down, start);
-    REQUIRE(router.pick({}, { 0, "c", 250ms }, start, random) == "a");
+        REQUIRE(router.pickUpstream({}, { 0, "c", 250ms }, start, random) == "b");
+    router.onLoadReport("a", told(1, 0), start);
+    router.onLoadReport("b", down, start);
+    REQUIRE(router.pickUpstream({}, { 0, "c", 250ms }, start, random) == "a");
 }
 
 TEST_CASE("Retries of one node stay inside its part, whatever the order", "[timely]")
@@ -137,10 +137,10 @@
         const auto steps = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
         for (const bool isFirst : steps) {
             if (isFirst) {
-                router.firstAttempt(0);
+                router.recordFirstAttempt(0);
                 ++first;
             } else {
-                retries += router.trySpendRetry(0, RetryClaim::Outside, {});
+                retries += router.trySpendRetry(0, RetryPriority::Outside, {});
             }
             RC_ASSERT(retries <= 2 + 0.1 * first + 1e-9);
         }
@@ -189,26 +189,26 @@
 
 TEST_CASE("What a running call still needs goes by the work done and the usual slow phase", "[timely]")
 {
-    RemainingTime remaining;
-    REQUIRE(remaining.of("c", 0ms, 4) == 0ms); // nothing is known
+    RemainingTimeEstimate remaining;
+    REQUIRE(remaining.remainingTime("c", 0ms, 4) == 0ms); // nothing is known
     for (int i = 0; i < 10; ++i)
-        remaining.ran("c", 200ms);
-    remaining.slowPhaseEnded(400ms);
-    REQUIRE(remaining.of("c", 50ms, 1) == 150ms);
-    REQUIRE(remaining.of("c", 190ms, 1) == 40ms); // a part of the usual is always left
-    REQUIRE(remaining.of("c", 150ms, 4) == 200ms); // ends within the phase
-    REQUIRE(remaining.of("c", 0ms, 4) == 500ms); // 100 ms of work in the phase, the rest after it
+        remaining.addRun("c", 200ms);
+    remaining.addSlowPhase(400ms);
+    REQUIRE(remaining.remainingTime("c", 50ms, 1) == 150ms);
+    REQUIRE(remaining.remainingTime("c", 190ms, 1) == 40ms); // a part of the usual is always left
+    REQUIRE(remaining.remainingTime("c", 150ms, 4) == 200ms); // ends within the phase
+    REQUIRE(remaining.remainingTime("c", 0ms, 4) == 500ms); // 100 ms of work in the phase, the rest after it
 }
 
 TEST_CASE("Bytes that a call moves weigh against leaving its hall, by its class", "[timely]")
 {
     // Near by, the server is slow enough to be late one time in a few; the far one is calm.
     auto router = routerOf({ { "near", 9, 0ms, false }, { "far", 9, 3ms, true } });
-    router.heard("near", told(1.9, 0), start);
-    router.heard("far", told(1, 0), start);
+    router.onLoadReport("near", told(1.9, 0), start);
+    router.onLoadReport("far", told(1, 0), start);
     Random random(1);
     const auto choiceOf = [&](double relativeBytes) {
-        return *router.pick({}, { 0, "c", 210ms, relativeBytes }, start, random);
+        return *router.pickUpstream({}, { 0, "c", 210ms, relativeBytes }, start, random);
     };
     REQUIRE(choiceOf(0.2) == "far");
     REQUIRE(choiceOf(4) == "near");
@@ -217,13 +217,13 @@
 TEST_CASE("A class counts by its bytes over those of a mean call, and as a mean one before any was seen",
     "[timely]")
 {
-    CallBytes bytes;
-    REQUIRE(bytes.relative("small") == 1);
+    CallSizeEstimate bytes;
+    REQUIRE(bytes.relativeBytes("small") == 1);
     for (int i = 0; i < 300; ++i) {
-        bytes.add("small", 1500);
-        bytes.add("large", 9500);
+        bytes.addCall("small", 1500);
+        bytes.addCall("large", 9500);
     }
-    REQUIRE(bytes.relative("small") == Approx(2000.0 / 6000).epsilon(0.05));
-    REQUIRE(bytes.relative("large") == Approx(10000.0 / 6000).epsilon(0.05));
-    REQUIRE(bytes.relative("unknown") == 1);
+    REQUIRE(bytes.relativeBytes("small") == Approx(2000.0 / 6000).epsilon(0.05));
+    REQUIRE(bytes.relativeBytes("large") == Approx(10000.0 / 6000).epsilon(0.05));
+    REQUIRE(bytes.relativeBytes("unknown") == 1);
 }
--- a/test/WarmUpTest.cpp
+++ b/test/WarmUpTest.cpp
@@ -157,9 +157,9 @@
     explicit ColdService(ColdPaceKind kind)
     {
         ServiceRouter::Options routing;
-        routing.kind = ChoiceKind::Timely;
+        routing.policyKind = ChoicePolicyKind::Timely;
         router = std::make_unique<ServiceRouter>(routing);
-        std::vector<RouteTarget> targets;
+        std::vector<UpstreamConfig> targets;
         for (std::size_t i = 0; i < servers; ++i) {
             Admission::Options options;
             options.slots = slots;
@@ -189,10 +189,10 @@
 
     void ask(Call call)
     {
-        const RouteNeeds needs { group, "read", std::max(call.first + target - loop.now(), Duration(1)) };
-        const auto name = router->pick({}, needs, loop.now(), random);
+        const CallProfile needs { group, "read", std::max(call.first + target - loop.now(), Duration(1)) };
+        const auto name = router->pickUpstream({}, needs, loop.now(), random);
         call.server = static_cast<std::size_t>(name->back() - '0');
-        router->sent(*name, group);
+        router->onAttemptSent(*name, group);
         const auto id = ++lastId;
         calls[id] = call;
         Offer offer;
@@ -220,11 +220,11 @@
 
     void told(const Call& call, Duration held)
     {
-        Report report;
+        OwnerReport report;
         report.load = all[call.server].admission->load(loop.now());
-        report.queued = report.load.waiting;
-        report.heard = loop.now();
-        router->answered(all[call.server].name, group, report, held, false, loop.now());
+        report.queuedCalls = report.load.waiting;
+        report.receivedAt = loop.now();
+        router->onAttemptAnswered(all[call.server].name, group, report, held, false, loop.now());
     }
 
     void refused(std::uint64_t id)
--- a/test/support/IngressFixture.h
+++ b/test/support/IngressFixture.h
@@ -34,7 +34,7 @@
     Duration ahead {}; ///< of the real time, the time at which requests come
 
     /// \param kind how upstreams are chosen: a router keeps to the kind it was made with.
-    explicit IngressFixture(ChoiceKind kind = ChoiceKind::ExpectedDelay)
+    explicit IngressFixture(ChoicePolicyKind kind = ChoicePolicyKind::ExpectedDelay)
     {
         context.settings.choice.kind = kind;
         ingress.configure(monotonicNow());
--- a/test/support/MeshFixture.h
+++ b/test/support/MeshFixture.h
@@ -220,7 +220,7 @@
         auto& s = place.settings;
         s.limits.calls = 1000;
         s.limits.ticketMemory = 100000;
-        s.choice.kind = ChoiceKind::Timely;
+        s.choice.kind = ChoicePolicyKind::Timely;
         s.choice.subset = 100;
         s.choice.attemptTimeout = 1s;
         s.retries = { 0.2, 60 };
--- a/test/support/NodeFixture.h
+++ b/test/support/NodeFixture.h
@@ -81,7 +81,7 @@
         settings.limits.ticketMemory = 100000;
         settings.choice.subset = 10;
         settings.choice.attemptTimeout = 10s;
-        settings.choice.kind = ChoiceKind::ExpectedDelay;
+        settings.choice.kind = ChoicePolicyKind::ExpectedDelay;
         settings.claims.partitions = 1;
         settings.claims.appendsPerSecond = 10;
         settings.claims.decideWithin = 1s;
