--- a/src/Mesh/AnnouncedUpstream.cpp
+++ b/src/Mesh/AnnouncedUpstream.cpp
@@ -7,34 +7,34 @@
 namespace {
 
     /// An announcement may be seconds late, not longer than so many starts of a server.
-    constexpr std::size_t rememberedLives = 64;
+    constexpr std::size_t maxFormerLives = 64;
 
 } // namespace
 
-bool AnnouncedUpstream::take(const Announcement& announcement)
+bool AnnouncedUpstream::applyAnnouncement(const Announcement& announcement)
 {
     if (!m_current || m_current->life == announcement.life)
-        return m_current ? takeOfCurrent(announcement) : takeNext(announcement);
-    const bool isLastWord = announcement.state == AnnouncedState::Gone && !announcement.life.hasBorn();
-    if (isLastWord && announcement.life.id() == m_current->life.id())
-        return takeOfCurrent(announcement);
-    return takeNext(announcement);
+        return m_current ? applyCurrentLife(announcement) : applyOtherLife(announcement);
+    const bool isFinal = announcement.state == AnnouncedState::Gone && !announcement.life.hasBorn();
+    if (isFinal && announcement.life.id() == m_current->life.id())
+        return applyCurrentLife(announcement);
+    return applyOtherLife(announcement);
 }
 
-bool AnnouncedUpstream::takeNext(const Announcement& announcement)
+bool AnnouncedUpstream::applyOtherLife(const Announcement& announcement)
 {
-    if (isOver(announcement.life))
+    if (hasEnded(announcement.life))
         return false;
     const bool isGone = announcement.state == AnnouncedState::Gone;
     if (isGone && !(m_current && m_current->life.isBefore(announcement.life))) {
         // The last word of a life that was never known: nothing of it may come later.
-        addFormer(announcement.life);
+        addFormerLife(announcement.life);
         return false;
     }
     const auto former = std::exchange(m_current, announcement);
-    m_isGuess = false;
+    m_isProvisional = false;
     if (former)
-        addFormer(former->life);
+        addFormerLife(former->life);
     if (isGone) {
         // A last word names nothing but its life.
         m_current->address = former->address;
@@ -43,9 +43,9 @@
     return true;
 }
 
-bool AnnouncedUpstream::takeOfCurrent(const Announcement& announcement)
+bool AnnouncedUpstream::applyCurrentLife(const Announcement& announcement)
 {
-    const bool wasGuess = std::exchange(m_isGuess, false);
+    const bool wasProvisional = std::exchange(m_isProvisional, false);
     if (announcement.state == AnnouncedState::Gone) {
         const bool wasLeaving = isLeaving();
         m_current->state = AnnouncedState::Gone;
@@ -53,58 +53,58 @@
     }
     if (announcement.sequence <= m_current->sequence)
         return false;
-    const bool isNews = m_current->state != announcement.state || m_current->slots != announcement.slots
+    const bool isChanged = m_current->state != announcement.state || m_current->slots != announcement.slots
         || m_current->address != announcement.address;
     m_current->sequence = announcement.sequence;
-    if (isLeaving() && !wasGuess)
+    if (isLeaving() && !wasProvisional)
         return false;
     m_current->state = announcement.state;
     m_current->slots = announcement.slots;
     m_current->address = announcement.address;
-    return isNews;
+    return isChanged;
 }
 
-bool AnnouncedUpstream::found(const Announcement& guess)
+bool AnnouncedUpstream::applyHealthAnswer(const Announcement& probed)
 {
-    if (m_current || isOver(guess.life))
+    if (m_current || hasEnded(probed.life))
         return false;
-    m_current = guess;
-    m_isGuess = true;
+    m_current = probed;
+    m_isProvisional = true;
     return true;
 }
 
-bool AnnouncedUpstream::hasLeftBefore(const BackendLife& life)
+bool AnnouncedUpstream::markLeaving(const BackendLife& life)
 {
     if (!m_current || !(m_current->life == life || m_current->life.isBefore(life))) {
-        addFormer(life);
+        addFormerLife(life);
         return false;
     }
-    if (m_current->life == life && isLeaving() && !m_isGuess)
+    if (m_current->life == life && isLeaving() && !m_isProvisional)
         return false;
-    m_isGuess = false;
+    m_isProvisional = false;
     m_current->life = life;
     m_current->state = AnnouncedState::Draining;
     return true;
 }
 
-bool AnnouncedUpstream::isOver(const BackendLife& life) const
+bool AnnouncedUpstream::hasEnded(const BackendLife& life) const
 {
     if (m_current && life.isBefore(m_current->life))
         return true;
     // One that says no start, where the present life says one, is of another writer.
     if (m_current && m_current->life.hasBorn() && !life.hasBorn())
         return true;
-    return std::any_of(
-        m_former.begin(), m_former.end(), [&](const auto& it) { return it == life || life.isBefore(it); });
+    return std::any_of(m_formerLives.begin(), m_formerLives.end(),
+        [&](const auto& it) { return it == life || life.isBefore(it); });
 }
 
-void AnnouncedUpstream::addFormer(const BackendLife& life)
+void AnnouncedUpstream::addFormerLife(const BackendLife& life)
 {
-    if (std::find(m_former.begin(), m_former.end(), life) != m_former.end())
+    if (std::find(m_formerLives.begin(), m_formerLives.end(), life) != m_formerLives.end())
         return;
-    m_former.push_back(life);
-    if (m_former.size() > rememberedLives)
-        m_former.pop_front();
+    m_formerLives.push_back(life);
+    if (m_formerLives.size() > maxFormerLives)
+        m_formerLives.pop_front();
 }
 
 } // namespace robinrun
--- a/src/Mesh/AnnouncedUpstream.h
+++ b/src/Mesh/AnnouncedUpstream.h
@@ -19,16 +19,16 @@
 class AnnouncedUpstream {
 public:
     /// \returns whether anything has changed.
-    bool take(const Announcement& announcement);
+    bool applyAnnouncement(const Announcement& announcement);
 
     /// \brief The server's health answer tells which id it goes by, before any announcement has come. If it
     /// says unwell, the next announcement decides whether it leaves.
     /// \returns whether anything has changed.
-    bool found(const Announcement& guess);
+    bool applyHealthAnswer(const Announcement& probed);
 
     /// \brief A former life of this node has acknowledged that \a life leaves.
     /// \returns whether anything has changed.
-    bool hasLeftBefore(const BackendLife& life);
+    bool markLeaving(const BackendLife& life);
 
     /// \returns what is known of the present life; nothing if the server was not heard of yet.
     const std::optional<Announcement>& current() const { return m_current; }
@@ -36,15 +36,15 @@
 
 private:
     /// \returns whether \a life is known to be over.
-    bool isOver(const BackendLife& life) const;
-    bool takeNext(const Announcement& announcement);
-    bool takeOfCurrent(const Announcement& announcement);
+    bool hasEnded(const BackendLife& life) const;
+    bool applyOtherLife(const Announcement& announcement);
+    bool applyCurrentLife(const Announcement& announcement);
     /// \brief Remembers a life that has left or was replaced; the last ones are kept.
-    void addFormer(const BackendLife& life);
+    void addFormerLife(const BackendLife& life);
 
     std::optional<Announcement> m_current;
-    bool m_isGuess = false; ///< no announcement of the present life has come yet
-    std::deque<BackendLife> m_former;
+    bool m_isProvisional = false; ///< no announcement of the present life has come yet
+    std::deque<BackendLife> m_formerLives;
 };
 
 } // namespace robinrun
--- a/src/Mesh/Announcement.h
+++ b/src/Mesh/Announcement.h
@@ -31,7 +31,8 @@
     std::uint32_t slots = 0; ///< calls it works on at a time
     std::uint64_t sequence = 0; ///< rises with each announcement of one start; 0 with the last word
     AnnouncedState state = AnnouncedState::Ready;
-    std::optional<Duration> coldFor {}; ///< how long the server stays cold; nothing if it doesn't say
+    std::optional<Duration>
+        remainingColdTime {}; ///< how long the server stays cold; nothing if it doesn't say
 };
 
 } // namespace robinrun
--- a/src/Mesh/ConfigHolder.cpp
+++ b/src/Mesh/ConfigHolder.cpp
@@ -7,39 +7,39 @@
 
 namespace robinrun {
 
-ConfigHolder::Verdict ConfigHolder::take(
+ConfigHolder::AdoptionResult ConfigHolder::tryAdopt(
     std::string_view text, std::string_view source, const MeshFormats& formats)
 {
     // Several peers may send the text that is in force; to read it takes milliseconds of a core, to compare
     // it microseconds.
     if (m_current && text == m_text)
-        return Verdict::NotNewer;
-    auto read = formats.readConfiguration(text);
-    if (!read) {
+        return AdoptionResult::NotNewer;
+    auto parsed = formats.readConfiguration(text);
+    if (!parsed) {
         log(LogLevel::Error, "configuration-refused",
-            { { "source", source }, { "error", read.error() }, { "in_force", version() } });
-        return Verdict::Unreadable;
+            { { "source", source }, { "error", parsed.error() }, { "in_force", version() } });
+        return AdoptionResult::Unreadable;
     }
-    if (m_current && read.value().version <= m_current->version)
-        return Verdict::NotNewer;
+    if (m_current && parsed.value().version <= m_current->version)
+        return AdoptionResult::NotNewer;
     log(LogLevel::Info, "configuration-adopted",
-        { { "version", read.value().version }, { "before", version() }, { "source", source },
-            { "resources", std::uint64_t { read.value().resources.size() } } });
-    for (const auto& it : read.value().faults) {
+        { { "version", parsed.value().version }, { "before", version() }, { "source", source },
+            { "resources", std::uint64_t { parsed.value().resources.size() } } });
+    for (const auto& it : parsed.value().errors) {
         log(LogLevel::Error, "configuration-entry-refused",
-            { { "version", read.value().version }, { "place", it.place }, { "error", it.message } });
+            { { "version", parsed.value().version }, { "place", it.location }, { "error", it.message } });
     }
-    m_current = std::move(read.value());
+    m_current = std::move(parsed.value());
     m_text = text;
-    return Verdict::Adopted;
+    return AdoptionResult::Adopted;
 }
 
-bool ConfigHolder::offer(std::string_view text, std::string_view source, const MeshFormats& formats)
+bool ConfigHolder::adoptIfNewer(std::string_view text, std::string_view source, const MeshFormats& formats)
 {
-    return take(text, source, formats) == Verdict::Adopted;
+    return tryAdopt(text, source, formats) == AdoptionResult::Adopted;
 }
 
-bool ConfigHolder::offerNewest(
+bool ConfigHolder::adoptNewest(
     const std::vector<KeyedRecord>& records, std::string_view source, const MeshFormats& formats)
 {
     struct Candidate {
@@ -49,7 +49,7 @@
     std::vector<Candidate> candidates;
     for (const auto& it : records) {
         if (it.key == formats.configurationKey)
-            candidates.push_back({ formats.versionOf(it.value).value_or(UINT64_MAX), &it.value });
+            candidates.push_back({ formats.readVersion(it.value).value_or(UINT64_MAX), &it.value });
     }
     // After an outage all versions of that time come at once. Each takes 6 to 12 ms of a whole core to read,
     // of which a node may have a tenth: only the newest is worth that. It is not always the last: a write of
@@ -59,9 +59,9 @@
     for (const auto& it : candidates) {
         if (it.version <= version())
             return false;
-        const auto verdict = take(*it.text, source, formats);
-        if (verdict != Verdict::Unreadable)
-            return verdict == Verdict::Adopted;
+        const auto result = tryAdopt(*it.text, source, formats);
+        if (result != AdoptionResult::Unreadable)
+            return result == AdoptionResult::Adopted;
     }
     return false;
 }
--- a/src/Mesh/ConfigCopies.h
+++ b/src/Mesh/ConfigPartServer.h
@@ -12,7 +12,7 @@
 namespace robinrun {
 
 /// \brief The text of one version of the configuration.
-struct ConfigText {
+struct ConfigVersionText {
     std::uint64_t version = 0;
     std::string text;
 };
@@ -24,27 +24,27 @@
 /// are not sent again, also when the asker goes on with another peer: equal texts give equal copies.
 /// Cost: encoding about 2.5 ns a byte of text, once for each version that askers have; the texts of former
 /// versions up to formerBytes, or one.
-class ConfigCopies {
+class ConfigPartServer {
 public:
     struct Options {
         /// A part takes 13 ms on a link of 10 Mbit/s; with 16 contacts that ask at once a heartbeat behind
         /// their parts comes 0.2 s late, and a link ends after 0.5 s.
-        std::size_t partBytes = 16U << 10U;
+        std::size_t maxPartBytes = 16U << 10U;
         /// Bytes of former texts: hundreds of small ones, or a few of some thousand routes.
-        std::size_t formerBytes = 2U << 20U;
+        std::size_t maxFormerTextBytes = 2U << 20U;
         /// Bytes of encoded copies that are kept: a hundred whole ones of 2,800 routes, or thousands of
         /// differences. Those that were asked for last stay.
-        std::size_t copyBytes = 4U << 20U;
+        std::size_t maxCachedCopyBytes = 4U << 20U;
     };
 
-    ConfigCopies() = default;
-    explicit ConfigCopies(Options options)
+    ConfigPartServer() = default;
+    explicit ConfigPartServer(Options options)
         : m_options(options)
     {
     }
 
     /// \brief \a former is no longer in force here, but may be at peers.
-    void keepFormer(ConfigText former);
+    void addFormerText(ConfigVersionText former);
 
     /// \param version in force here. \param text of it.
     /// \returns the part that \a request asks for, or the first one of another copy if there is no such copy;
@@ -60,18 +60,18 @@
         std::string bytes;
     };
 
-    const Copy& copyFor(
+    const Copy& findOrEncodeCopy(
         const proto::ConfigPartRequest& request, std::uint64_t version, std::string_view text);
-    const Copy* findStarted(const proto::ConfigPartRequest& request);
-    /// \returns the first copy of which \a isWanted holds, as the one used last; null if there is none.
-    template <class F> const Copy* use(F isWanted);
-    const ConfigText* findFormer(std::uint64_t version, std::uint64_t digest) const;
+    const Copy* findStartedCopy(const proto::ConfigPartRequest& request);
+    /// \returns the first copy of which \a matches holds, as the one used last; null if there is none.
+    template <class Predicate> const Copy* useCopy(Predicate matches);
+    const ConfigVersionText* findFormerText(std::uint64_t version, std::uint64_t digest) const;
 
     Options m_options;
-    std::deque<ConfigText> m_former; ///< the latest at the end
-    std::size_t m_formerBytes = 0;
-    std::deque<Copy> m_copies; ///< the one used last at the end
-    std::size_t m_copyBytes = 0;
+    std::deque<ConfigVersionText> m_formerTexts; ///< the latest at the end
+    std::size_t m_formerTextBytes = 0;
+    std::deque<Copy> m_cachedCopies; ///< the one used last at the end
+    std::size_t m_cachedCopyBytes = 0;
 };
 
 } // namespace robinrun
--- a/src/Mesh/CrashNews.cpp
+++ b/src/Mesh/CrashRecords.cpp
@@ -1,13 +1,13 @@
-#include "Mesh/CrashNews.h"
+#include "Mesh/CrashRecords.h"
 
 #include <algorithm>
 #include <cstddef>
 
-namespace robinrun::crashNews {
+namespace robinrun::crashRecords {
 namespace {
 
     /// A time in ms beyond this is none that a clock shows.
-    constexpr std::uint64_t latestMs = std::uint64_t { 1 } << 53U;
+    constexpr std::uint64_t maxUnixMs = std::uint64_t { 1 } << 53U;
 
     template <class Items> void keepLast(Items& items, std::size_t n)
     {
@@ -16,12 +16,12 @@
             items.erase(items.begin(), items.begin() + static_cast<std::ptrdiff_t>(size - n));
     }
 
-    std::string tooMany(const std::string& field, std::size_t most)
+    std::string tooManyEntriesError(const std::string& field, std::size_t limit)
     {
-        return field + ": has more than " + std::to_string(most) + " entries";
+        return field + ": has more than " + std::to_string(limit) + " entries";
     }
 
-    template <class Items> bool isMoreThan(const Items& items, std::size_t n)
+    template <class Items> bool hasMoreThan(const Items& items, std::size_t n)
     {
         return static_cast<std::size_t>(items.size()) > n;
     }
@@ -34,7 +34,7 @@
     if (std::any_of(known.begin(), known.end(), [&](const auto& it) { return it.id() == report.id(); }))
         return false;
     *record.add_crashes() = report;
-    keepLast(*record.mutable_crashes(), keptReports);
+    keepLast(*record.mutable_crashes(), maxReports);
     return true;
 }
 
@@ -48,12 +48,12 @@
         it->MergeFrom(acquittal);
     else
         *record.add_acquittals() = acquittal;
-    for (auto& each : known)
-        keepLast(*each.mutable_reports(), keptClearings);
-    keepLast(known, keptAcquittals);
+    for (auto& entry : known)
+        keepLast(*entry.mutable_reports(), maxClearedReports);
+    keepLast(known, maxAcquittals);
 }
 
-bool take(const proto::NodeRecord& record, CrashLedger& ledger, Instant now)
+bool mergeIntoLedger(const proto::NodeRecord& record, CrashLedger& ledger, Instant now)
 {
     bool isNews = false;
     for (const auto& it : record.crashes())
@@ -63,23 +63,23 @@
     return isNews;
 }
 
-std::string faultOf(const proto::NodeRecord& record)
+std::string validationError(const proto::NodeRecord& record)
 {
-    if (isMoreThan(record.crashes(), keptReports))
-        return tooMany("crashes", keptReports);
+    if (hasMoreThan(record.crashes(), maxReports))
+        return tooManyEntriesError("crashes", maxReports);
     for (const auto& it : record.crashes()) {
-        if (isMoreThan(it.suspects(), CrashLedger::mostSuspects))
-            return tooMany("crashes.suspects", CrashLedger::mostSuspects);
-        if (it.at_ms() > latestMs)
+        if (hasMoreThan(it.suspects(), CrashLedger::mostSuspects))
+            return tooManyEntriesError("crashes.suspects", CrashLedger::mostSuspects);
+        if (it.at_ms() > maxUnixMs)
             return "crashes.at_ms: must be at most 2^53";
     }
-    if (isMoreThan(record.acquittals(), keptAcquittals))
-        return tooMany("acquittals", keptAcquittals);
+    if (hasMoreThan(record.acquittals(), maxAcquittals))
+        return tooManyEntriesError("acquittals", maxAcquittals);
     for (const auto& it : record.acquittals()) {
-        if (isMoreThan(it.reports(), keptClearings))
-            return tooMany("acquittals.reports", keptClearings);
+        if (hasMoreThan(it.reports(), maxClearedReports))
+            return tooManyEntriesError("acquittals.reports", maxClearedReports);
     }
     return "";
 }
 
-} // namespace robinrun::crashNews
+} // namespace robinrun::crashRecords
--- a/src/Mesh/CrashNews.h
+++ b/src/Mesh/CrashRecords.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <string>
 
-namespace robinrun::crashNews {
+namespace robinrun::crashRecords {
 
 /// \file What a node's record carries of crashes: reports of its own backend server's last crashes, those of
 /// its former lives too, and acquittals by good ends there. So crashes spread, are compared between contacts
@@ -14,10 +14,10 @@
 
 /// Of a server that crashes more often than so many times, the last ones say enough: three hold a content
 /// back.
-inline constexpr std::size_t keptReports = 8;
-inline constexpr std::size_t keptAcquittals = 16;
+inline constexpr std::size_t maxReports = 8;
+inline constexpr std::size_t maxAcquittals = 16;
 /// Of one content: more strikes than hold it back.
-inline constexpr std::size_t keptClearings = 32;
+inline constexpr std::size_t maxClearedReports = 32;
 
 /// \brief Adds \a report to \a record unless it is there; beyond the bound the oldest go. \returns whether it
 /// did.
@@ -28,10 +28,10 @@
 void add(proto::NodeRecord& record, const proto::CrashAcquittal& acquittal);
 
 /// \brief Takes all that \a record says into \a ledger. \returns whether anything was news.
-bool take(const proto::NodeRecord& record, CrashLedger& ledger, Instant now);
+bool mergeIntoLedger(const proto::NodeRecord& record, CrashLedger& ledger, Instant now);
 
 /// \returns why a record's reports and acquittals can't be what a node has written, with the field; "" if
 /// they can.
-std::string faultOf(const proto::NodeRecord& record);
+std::string validationError(const proto::NodeRecord& record);
 
-} // namespace robinrun::crashNews
+} // namespace robinrun::crashRecords
--- a/src/Mesh/EmptiedHalls.cpp
+++ b/src/Mesh/EmptiedHalls.cpp
@@ -10,98 +10,99 @@
 
     /// What was written between the copy and the store's end is written again by then: the operator does it
     /// when it hears of the return, at once or by hand.
-    constexpr Duration writtenAgainWithin = 30s;
-    constexpr std::size_t mostHalls = 256;
-    constexpr std::size_t longestName = 255;
+    constexpr Duration rewriteTimeout = 30s;
+    constexpr std::size_t maxHalls = 256;
+    constexpr std::size_t maxNameBytes = 255;
 
 } // namespace
 
-bool EmptiedHalls::put(const std::string& hall, const Record& record)
+bool EmptiedHalls::update(const std::string& hall, const Record& record)
 {
-    if (hall.empty() || hall.size() > longestName)
+    if (hall.empty() || hall.size() > maxNameBytes)
         return false;
     const auto it = m_halls.find(hall);
-    if (it != m_halls.end() && record.at <= it->second.at)
+    if (it != m_halls.end() && record.position <= it->second.position)
         return false;
     const bool wasEmptied = it != m_halls.end() && it->second.isEmptied;
     m_halls[hall] = record;
-    keepFew();
+    evictExcessHalls();
     if (wasEmptied == record.isEmptied)
         return false;
     log(LogLevel::Info, record.isEmptied ? "hall-emptied" : "hall-taken-back",
-        { { "hall", hall }, { "era", record.at.era }, { "offset", record.at.offset } });
+        { { "hall", hall }, { "era", record.position.era }, { "offset", record.position.offset } });
     return true;
 }
 
-bool EmptiedHalls::take(const KeyedPage& page, const HallOf& hallOf)
+bool EmptiedHalls::applyPage(const KeyedPage& page, const KeyParser& parseKey)
 {
     bool isChanged = false;
     std::set<std::string> present;
     for (const auto& it : page.records) {
-        const auto hall = hallOf(it.key);
+        const auto hall = parseKey(it.key);
         if (!hall)
             continue;
         present.insert(*hall);
-        isChanged |= put(*hall, { it.at, !it.value.empty() });
+        isChanged |= update(*hall, { it.at, !it.value.empty() });
     }
     if (page.isWhole)
-        isChanged |= takeAbsent(page, present);
+        isChanged |= updateAbsentHalls(page, present);
     return isChanged;
 }
 
-bool EmptiedHalls::takeAbsent(const KeyedPage& page, const std::set<std::string>& present)
+bool EmptiedHalls::updateAbsentHalls(const KeyedPage& page, const std::set<std::string>& present)
 {
     bool isChanged = false;
     for (const auto& [hall, record] : m_halls) {
-        const bool isOfThisEra = record.at.era == page.next.era;
-        if (record.isEmptied && isOfThisEra && !present.contains(hall))
-            isChanged |= put(hall, { page.next, false });
+        const bool isOfPageEra = record.position.era == page.next.era;
+        if (record.isEmptied && isOfPageEra && !present.contains(hall))
+            isChanged |= update(hall, { page.next, false });
     }
     return isChanged;
 }
 
-bool EmptiedHalls::heard(const proto::NodeContact& contact)
+bool EmptiedHalls::applyContact(const proto::NodeContact& contact)
 {
     bool isChanged = false;
     for (const auto& it : contact.halls())
-        isChanged |= put(it.hall(), { { it.at().era(), it.at().offset() }, it.emptied() });
+        isChanged |= update(it.hall(), { { it.at().era(), it.at().offset() }, it.emptied() });
     return isChanged;
 }
 
-bool EmptiedHalls::tick(std::uint64_t era, Instant now)
+bool EmptiedHalls::expireFormerEras(std::uint64_t era, Instant now)
 {
     if (era != m_era) {
         m_era = era;
-        m_eraBegan = now;
+        m_eraNoticedAt = now;
     }
-    if (now - m_eraBegan < writtenAgainWithin)
+    if (now - m_eraNoticedAt < rewriteTimeout)
         return false;
     bool isChanged = false;
     for (const auto& [hall, record] : m_halls) {
-        if (record.isEmptied && record.at.era < era)
-            isChanged |= put(hall, { { era, 0 }, false });
+        if (record.isEmptied && record.position.era < era)
+            isChanged |= update(hall, { { era, 0 }, false });
     }
     return isChanged;
 }
 
-void EmptiedHalls::tell(proto::NodeContact& contact) const
+void EmptiedHalls::addToContact(proto::NodeContact& contact) const
 {
     for (const auto& [hall, record] : m_halls) {
         auto& out = *contact.add_halls();
         out.set_hall(hall);
         out.set_emptied(record.isEmptied);
-        out.mutable_at()->set_era(record.at.era);
-        out.mutable_at()->set_offset(record.at.offset);
+        out.mutable_at()->set_era(record.position.era);
+        out.mutable_at()->set_offset(record.position.offset);
     }
 }
 
-void EmptiedHalls::keepFew()
+void EmptiedHalls::evictExcessHalls()
 {
-    while (m_halls.size() > mostHalls) {
-        const auto isLess = [](const auto& a, const auto& b) {
-            return std::tuple(a.second.isEmptied, a.second.at) < std::tuple(b.second.isEmptied, b.second.at);
+    while (m_halls.size() > maxHalls) {
+        const auto evictsFirst = [](const auto& a, const auto& b) {
+            return std::tuple(a.second.isEmptied, a.second.position)
+                < std::tuple(b.second.isEmptied, b.second.position);
         };
-        m_halls.erase(std::min_element(m_halls.begin(), m_halls.end(), isLess));
+        m_halls.erase(std::min_element(m_halls.begin(), m_halls.end(), evictsFirst));
     }
 }
 
@@ -111,7 +112,7 @@
     return it != m_halls.end() && it->second.isEmptied;
 }
 
-std::set<std::string> EmptiedHalls::emptied() const
+std::set<std::string> EmptiedHalls::emptiedHalls() const
 {
     std::set<std::string> out;
     for (const auto& [hall, record] : m_halls) {
--- a/src/Mesh/EmptiedHalls.h
+++ b/src/Mesh/EmptiedHalls.h
@@ -25,36 +25,36 @@
 class EmptiedHalls {
 public:
     /// \returns the hall that a record's key is about; nothing if it is about something else.
-    using HallOf = std::function<std::optional<std::string>(std::string_view key)>;
+    using KeyParser = std::function<std::optional<std::string>(std::string_view key)>;
 
     /// \brief Takes in what the store has answered. \returns whether something has changed.
-    bool take(const KeyedPage& page, const HallOf& hallOf);
+    bool applyPage(const KeyedPage& page, const KeyParser& parseKey);
 
     /// \brief A contact tells what it knows. \returns whether something has changed.
-    bool heard(const proto::NodeContact& contact);
+    bool applyContact(const proto::NodeContact& contact);
 
     /// \brief Ends what nobody has written again since the store came back. \returns whether anything has.
-    bool tick(std::uint64_t era, Instant now);
+    bool expireFormerEras(std::uint64_t era, Instant now);
 
     /// \brief Adds what is known to what a contact is told.
-    void tell(proto::NodeContact& contact) const;
+    void addToContact(proto::NodeContact& contact) const;
 
     bool isEmptied(const std::string& hall) const;
-    std::set<std::string> emptied() const;
+    std::set<std::string> emptiedHalls() const;
 
 private:
     struct Record {
-        StorePosition at;
+        StorePosition position;
         bool isEmptied = false;
     };
 
-    bool put(const std::string& hall, const Record& record);
-    bool takeAbsent(const KeyedPage& page, const std::set<std::string>& present);
-    void keepFew();
+    bool update(const std::string& hall, const Record& record);
+    bool updateAbsentHalls(const KeyedPage& page, const std::set<std::string>& present);
+    void evictExcessHalls();
 
     std::map<std::string, Record> m_halls;
     std::uint64_t m_era = 0;
-    Instant m_eraBegan {}; ///< when it was noticed here
+    Instant m_eraNoticedAt {}; ///< when it was noticed here
 };
 
 } // namespace robinrun
--- a/src/Mesh/FollowShare.h
+++ b/src/Mesh/FollowerSelection.h
@@ -17,29 +17,29 @@
 /// addresses. Nobody elects anybody: a node that hears of too few, for whatever reason, follows. Where
 /// each node hears c contacts, about `enough` of each c nodes follow.
 /// Cost: O(peers heard); about 100 bytes each.
-class FollowShare {
+class FollowerSelection {
 public:
     struct Options {
-        std::size_t enough = 4; ///< nodes that follow, heard by each; their loss together is rare
-        Duration memory = 1300ms; ///< a peer that was not heard for so long does not count
+        std::size_t targetFollowers = 4; ///< nodes that follow, heard by each; their loss together is rare
+        Duration peerTimeout = 1300ms; ///< a peer that was not heard for so long does not count
         /// Those that go first by hash take over first; each further `enough` nodes wait so much longer.
-        Duration stagger = 150ms;
+        Duration takeOverStagger = 150ms;
     };
 
     /// \param self address of this node's peer socket.
-    FollowShare(const std::string& self, Options options);
+    FollowerSelection(const std::string& self, Options options);
 
     /// \brief The node at \a address says whether it follows and the store answers it.
-    void heard(const std::string& address, bool isFollowing, Instant now);
+    void onPeerStatus(const std::string& address, bool isFollowing, Instant now);
 
     /// \brief The link to the node at \a address has ended.
-    void lost(const std::string& address) { m_heard.erase(address); }
+    void onLinkClosed(const std::string& address) { m_peers.erase(address); }
 
     /// \returns whether any peer was heard whose link has not ended since.
-    bool hearsAny() const { return !m_heard.empty(); }
+    bool hasPeers() const { return !m_peers.empty(); }
 
     /// \returns whether enough nodes follow that go before this one.
-    bool mayRest(Instant now) const;
+    bool mayStandBy(Instant now) const;
 
     /// \returns how long to wait before following where too few others do: longer, the more nodes that live
     /// go before this one.
@@ -47,21 +47,21 @@
 
     /// \returns whether enough nodes that go before this one live, whatever the store answers them: if the
     /// store is away, they notice its return first.
-    bool mayLag(Instant now) const;
+    bool mayRetrySlowly(Instant now) const;
 
 private:
-    struct Heard {
+    struct PeerStatus {
         std::uint64_t rank = 0;
         bool isFollowing = false;
-        Instant at {};
+        Instant heardAt {};
     };
 
-    /// \returns the nodes heard of late that go before this one and of which \a counts holds.
-    template <class Counts> std::size_t countBefore(Instant now, Counts counts) const;
+    /// \returns the nodes heard of late that go before this one and of which \a matches holds.
+    template <class Predicate> std::size_t countLowerRanked(Instant now, Predicate matches) const;
 
     Options m_options;
     std::uint64_t m_rank;
-    std::map<std::string, Heard> m_heard; ///< by address
+    std::map<std::string, PeerStatus> m_peers; ///< by address
 };
 
 } // namespace robinrun
--- a/src/Mesh/Gossip.cpp
+++ b/src/Mesh/Gossip.cpp
@@ -10,11 +10,11 @@
 
     /// Bytes after which the rest of an answer goes in another message, so that calls and heartbeats pass in
     /// between and what came before a link's end counts: at 7,200 nodes all records together are 0.8 MB.
-    constexpr std::size_t messageBytes = 32U << 10U;
+    constexpr std::size_t targetMessageBytes = 32U << 10U;
 
 } // namespace
 
-Gossip::Gossip(const NodeRegistry& registry, std::string self, Options options, Send send)
+Gossip::Gossip(const NodeRegistry& registry, std::string self, Options options, SendFunction send)
     : m_registry(&registry)
     , m_self(std::move(self))
     , m_options(options)
@@ -22,9 +22,9 @@
 {
 }
 
-void Gossip::spread(const proto::NodeRecord& record, const std::string& from)
+void Gossip::queueRelay(const proto::NodeRecord& record, const std::string& sender)
 {
-    m_news[record.node()] = { record, from };
+    m_pendingRelays[record.node()] = { record, sender };
 }
 
 void Gossip::publish(const proto::NodeRecord& own, Instant now)
@@ -34,19 +34,19 @@
     sendToContacts(message, now);
 }
 
-void Gossip::flush(Random& random, Instant now)
+void Gossip::sendRelays(Random& random, Instant now)
 {
-    const auto news = std::exchange(m_news, {});
-    if (news.empty())
+    const auto relays = std::exchange(m_pendingRelays, {});
+    if (relays.empty())
         return;
-    auto contacts = m_registry->contactsOf(m_self, m_options.contacts);
-    const auto n = std::min(m_options.relays, contacts.size());
+    auto contacts = m_registry->contactsOf(m_self, m_options.maxContacts);
+    const auto n = std::min(m_options.maxRelays, contacts.size());
     for (std::size_t i = 0; i < n; ++i) {
         std::swap(contacts[i], contacts[i + random.below(contacts.size() - i)]);
         proto::PeerMessage message;
         auto& out = *message.mutable_node_records();
-        for (const auto& [node, it] : news) {
-            if (node != contacts[i] && it.from != contacts[i])
+        for (const auto& [node, it] : relays) {
+            if (node != contacts[i] && it.sender != contacts[i])
                 *out.add_records() = it.record;
         }
         if (out.records_size() > 0)
@@ -54,7 +54,7 @@
     }
 }
 
-void Gossip::tellContacts(const proto::NodeContact& contact, Instant now)
+void Gossip::sendContact(const proto::NodeContact& contact, Instant now)
 {
     proto::PeerMessage message;
     *message.mutable_node_contact() = contact;
@@ -63,37 +63,37 @@
 
 void Gossip::sendToContacts(const proto::PeerMessage& message, Instant now)
 {
-    for (const auto& it : m_registry->contactsOf(m_self, m_options.contacts)) {
+    for (const auto& it : m_registry->contactsOf(m_self, m_options.maxContacts)) {
         auto copy = message; // the sender's fields are added to it
         m_send(m_registry->find(it)->peer_address(), copy, now);
     }
 }
 
-void Gossip::heardDigest(std::uint64_t digest, bool isNew, const Reply& reply, Instant now)
+void Gossip::onDigest(std::uint64_t digest, bool isNewPeer, const ReplyFunction& reply, Instant now)
 {
-    if (!isNew && (digest == m_registry->digest() || now < m_nextRepair))
+    if (!isNewPeer && (digest == m_registry->digest() || now < m_nextRepairAt))
         return;
-    if (!isNew)
-        m_nextRepair = now + m_options.repairEvery;
+    if (!isNewPeer)
+        m_nextRepairAt = now + m_options.repairInterval;
     proto::PeerMessage message;
     for (const auto it : m_registry->digests())
         message.mutable_registry_digests()->add_buckets(it);
     reply(message);
 }
 
-void Gossip::answer(const proto::RegistryDigests& asked, const Reply& reply) const
+void Gossip::answerDigests(const proto::RegistryDigests& peerDigests, const ReplyFunction& reply) const
 {
     proto::PeerMessage message;
     auto& out = *message.mutable_node_records();
     const auto& own = m_registry->digests();
-    const auto n = std::min<std::size_t>(own.size(), static_cast<std::size_t>(asked.buckets_size()));
+    const auto n = std::min<std::size_t>(own.size(), static_cast<std::size_t>(peerDigests.buckets_size()));
     for (std::size_t i = 0; i < n; ++i) {
-        if (asked.buckets(static_cast<int>(i)) == own[i])
+        if (peerDigests.buckets(static_cast<int>(i)) == own[i])
             continue;
         out.add_whole_buckets(static_cast<std::uint32_t>(i));
         for (auto& it : m_registry->recordsIn(i))
             *out.add_records() = std::move(it);
-        if (out.ByteSizeLong() < messageBytes)
+        if (out.ByteSizeLong() < targetMessageBytes)
             continue;
         reply(message);
         out.Clear();
@@ -102,21 +102,21 @@
         reply(message);
 }
 
-void Gossip::complete(const proto::NodeRecords& records, const Reply& reply) const
+void Gossip::sendMissingRecords(const proto::NodeRecords& records, const ReplyFunction& reply) const
 {
-    std::unordered_map<std::string, const proto::NodeRecord*> told;
+    std::unordered_map<std::string, const proto::NodeRecord*> received;
     for (const auto& it : records.records())
-        told[it.node()] = &it;
+        received[it.node()] = &it;
     proto::PeerMessage message;
     auto& out = *message.mutable_node_records();
-    std::bitset<NodeRegistry::bucketCount> done; // the peer may name any, and some twice
+    std::bitset<NodeRegistry::bucketCount> handledBuckets; // the peer may name any, and some twice
     for (const auto bucket : records.whole_buckets()) {
-        if (bucket >= done.size() || done.test(bucket))
+        if (bucket >= handledBuckets.size() || handledBuckets.test(bucket))
             continue;
-        done.set(bucket);
+        handledBuckets.set(bucket);
         for (auto& it : m_registry->recordsIn(bucket)) {
-            const auto known = told.find(it.node());
-            if (known == told.end() || NodeRegistry::isLater(it, *known->second))
+            const auto known = received.find(it.node());
+            if (known == received.end() || NodeRegistry::isLater(it, *known->second))
                 *out.add_records() = std::move(it);
         }
     }
--- a/src/Mesh/Gossip.h
+++ b/src/Mesh/Gossip.h
@@ -23,47 +23,48 @@
 /// \sa docs/design/platform.md
 class Gossip {
 public:
-    using Send = std::function<void(const std::string& address, proto::PeerMessage& message, Instant now)>;
+    using SendFunction
+        = std::function<void(const std::string& address, proto::PeerMessage& message, Instant now)>;
     /// \brief Answers the peer that a message came from, along the same link.
-    using Reply = std::function<void(proto::PeerMessage& message)>;
+    using ReplyFunction = std::function<void(proto::PeerMessage& message)>;
 
     struct Options {
-        std::size_t contacts = 16;
-        std::size_t relays = 3; ///< contacts that are passed on what came from others; the rest repair it
-        Duration repairEvery = 1s; ///< at most one comparison with a peer known before in so long
+        std::size_t maxContacts = 16;
+        std::size_t maxRelays = 3; ///< contacts that are passed on what came from others; the rest repair it
+        Duration repairInterval = 1s; ///< at most one comparison with a peer known before in so long
     };
 
     /// \param self name of this node. \param registry must outlive this.
-    Gossip(const NodeRegistry& registry, std::string self, Options options, Send send);
+    Gossip(const NodeRegistry& registry, std::string self, Options options, SendFunction send);
 
     /// \brief Sends this node's own record to all contacts.
     void publish(const proto::NodeRecord& own, Instant now);
 
-    /// \brief Keeps \a record, news that came from the node \a from, to be passed on by flush().
-    void spread(const proto::NodeRecord& record, const std::string& from);
+    /// \brief Keeps \a record, news that came from the node \a sender, to be passed on by flush().
+    void queueRelay(const proto::NodeRecord& record, const std::string& sender);
 
     /// \brief Passes on what spread() has kept, to some contacts drawn by \a random.
-    void flush(Random& random, Instant now);
+    void sendRelays(Random& random, Instant now);
 
     /// \brief Tells all contacts \a contact.
-    void tellContacts(const proto::NodeContact& contact, Instant now);
+    void sendContact(const proto::NodeContact& contact, Instant now);
 
     /// \brief A peer tells the digest of all that it knows. Asks for the buckets that differ if \a digest is
-    /// another one than the own: at once if this life of the peer is new here (\a isNew), else at most once
-    /// each Options::repairEvery.
-    void heardDigest(std::uint64_t digest, bool isNew, const Reply& reply, Instant now);
+    /// another one than the own: at once if this life of the peer is new here (\a isNewPeer), else at most
+    /// once each Options::repairEvery.
+    void onDigest(std::uint64_t digest, bool isNewPeer, const ReplyFunction& reply, Instant now);
 
     /// \brief A peer asks for the buckets that differ from its own.
-    void answer(const proto::RegistryDigests& asked, const Reply& reply) const;
+    void answerDigests(const proto::RegistryDigests& peerDigests, const ReplyFunction& reply) const;
 
     /// \brief A peer has sent all that it knows of some buckets, and \a records was taken in: sends back what
     /// it lacks.
-    void complete(const proto::NodeRecords& records, const Reply& reply) const;
+    void sendMissingRecords(const proto::NodeRecords& records, const ReplyFunction& reply) const;
 
 private:
-    struct News {
+    struct PendingRelay {
         proto::NodeRecord record;
-        std::string from;
+        std::string sender;
     };
 
     void sendToContacts(const proto::PeerMessage& message, Instant now);
@@ -71,9 +72,9 @@
     const NodeRegistry* m_registry;
     std::string m_self;
     Options m_options;
-    Send m_send;
-    std::map<std::string, News> m_news; ///< by node; to be passed on
-    Instant m_nextRepair {};
+    SendFunction m_send;
+    std::map<std::string, PendingRelay> m_pendingRelays; ///< by node; to be passed on
+    Instant m_nextRepairAt {};
 };
 
 } // namespace robinrun
--- a/src/Mesh/MeshFormats.h
+++ b/src/Mesh/MeshFormats.h
@@ -21,14 +21,14 @@
     std::string configurationKey;
     /// \returns the data hall that a record beside the configuration empties by its key; nothing if it is
     /// about something else.
-    std::function<std::optional<std::string>(std::string_view key)> emptiedHallOf;
+    std::function<std::optional<std::string>(std::string_view key)> parseEmptiedHall;
     std::string nodesTopic; ///< of the store; the nodes' own
     std::string readinessPath; ///< 200 if the node is ready, else 503
     std::string metricsPath; ///< text in the format of Prometheus
     /// \brief Reads a configuration. The error names the field.
     std::function<Result<Configuration, std::string>(std::string_view text)> readConfiguration;
     /// \returns the version that a configuration names, without reading the rest; nothing if it names none.
-    std::function<std::optional<std::uint64_t>(std::string_view text)> versionOf;
+    std::function<std::optional<std::uint64_t>(std::string_view text)> readVersion;
     /// \brief Reads an announcement of the backend server beside this node. The error names the field.
     std::function<Result<Announcement, std::string>(const HttpRequest& request)> readAnnouncement;
 };
--- a/src/Mesh/MeshNode.cpp
+++ b/src/Mesh/MeshNode.cpp
@@ -119,13 +119,13 @@
         });
     m_ingress->keepRates(*m_rates);
     m_writer = std::make_unique<RecordWriter>(base, *m_store, m_formats.nodesTopic, m_context.settings.name);
-    m_finder = std::make_unique<BackendFinder>(
+    m_finder = std::make_unique<BackendDiscovery>(
         base, m_context.settings.backend, [this](const Announcement& found) {
             const auto now = monotonicNow();
-            if (m_announced.found(found))
+            if (m_announced.applyHealthAnswer(found))
                 upstreamChanged(now);
-            if (found.coldFor && found.life.key() == m_owner->upstream())
-                m_owner->answeredWarmUp(*found.coldFor, now, now);
+            if (found.remainingColdTime && found.life.key() == m_owner->upstream())
+                m_owner->answeredWarmUp(*found.remainingColdTime, now, now);
         });
 }
 
@@ -150,9 +150,9 @@
     m_peers->onLost([this](const std::string& address) {
         if (m_lostPeers.insert(address).second)
             log(LogLevel::Info, "peer-lost", { { "peer", address } });
-        m_share.lost(address);
-        if (!m_share.hearsAny())
-            m_group.loseContacts();
+        m_share.onLinkClosed(address);
+        if (!m_share.hasPeers())
+            m_group.onContactsLost();
         m_ingress->peerLost(address, monotonicNow());
     });
     return boost::outcome_v2::success();
@@ -190,23 +190,24 @@
 {
     auto* base = m_context.base;
     const auto longestRetry = [this] {
-        return StoreWatch::longestPause(livingNodes(), m_share.mayLag(monotonicNow()) || !m_group.isMember());
+        return StoreReadTiming::maxRetryDelay(
+            livingNodes(), m_share.mayRetrySlowly(monotonicNow()) || !m_group.isMember());
     };
     TopicFollower::Options config;
     config.topic = m_formats.configurationTopic;
-    config.wait = [this] { return m_watch.wait(m_group.members(), m_context.random.unit()); };
-    config.pause
+    config.drawWait = [this] { return m_watch.nextWait(m_group.memberCount(), m_context.random.unit()); };
+    config.drawPause
         = [this] { return std::exchange(m_hasReadConfiguration, true) ? Duration::zero() : firstContacts; };
-    config.mayRest = [this] { return m_config.hasAny() && isWatched(monotonicNow()); };
-    config.longestRetry = longestRetry;
-    config.changed = [this] { tellContacts(monotonicNow()); };
+    config.mayStandBy = [this] { return m_config.hasConfiguration() && isWatched(monotonicNow()); };
+    config.maxRetryDelay = longestRetry;
+    config.onFollowingChanged = [this] { tellContacts(monotonicNow()); };
     m_configFeed = std::make_unique<TopicFollower>(
         base, *m_store, config,
         [this](const KeyedPage& page) { takeStoredConfiguration(page, monotonicNow()); }, m_context.random);
     TopicFollower::Options nodes;
     nodes.topic = m_formats.nodesTopic;
-    nodes.pause = [this] { return nodesPause(); };
-    nodes.longestRetry = longestRetry;
+    nodes.drawPause = [this] { return nodesPause(); };
+    nodes.maxRetryDelay = longestRetry;
     m_nodesFeed = std::make_unique<TopicFollower>(
         base, *m_store, nodes,
         [this](const KeyedPage& page) {
@@ -220,7 +221,7 @@
         if (livingNodes() > m_context.settings.peers.contacts)
             m_hasReadNodesSince = true;
         if (!m_hasReadNodesSince)
-            m_hasReadNodesSince = m_nodesFeed->readWithin(nodesAfterWrite);
+            m_hasReadNodesSince = m_nodesFeed->endPauseAfter(nodesAfterWrite);
     });
     m_store->onReturn([this] { storeReturned(monotonicNow()); });
     m_configFeed->start();
@@ -271,7 +272,7 @@
     metrics.gauge("robinrun_config_version", [this] { return double(m_config.version()); });
     metrics.gauge("robinrun_config_age_seconds", [this] { return toSeconds(monotonicNow() - m_adopted); });
     metrics.gauge("robinrun_config_confirmed_age_seconds", [this] {
-        const auto age = m_group.age(monotonicNow());
+        const auto age = m_group.confirmationAge(monotonicNow());
         return age ? toSeconds(*age) : neverConfirmed;
     });
     metrics.gauge("robinrun_store_era", [this] { return double(m_store->era().era()); });
@@ -280,7 +281,7 @@
         return since ? toSeconds(monotonicNow() - *since) : neverConfirmed;
     });
     metrics.gauge("robinrun_store_era_faults_total", [this] { return double(m_store->era().faults()); });
-    metrics.gauge("robinrun_halls_emptied", [this] { return double(m_halls.emptied().size()); });
+    metrics.gauge("robinrun_halls_emptied", [this] { return double(m_halls.emptiedHalls().size()); });
     metrics.gauge("robinrun_own_hall_emptied",
         [this] { return m_halls.isEmptied(m_context.settings.dataHall) ? 1.0 : 0.0; });
     metrics.gauge("robinrun_retries_saved", [this] { return m_ingress->savedRetries(); });
@@ -298,11 +299,11 @@
     metrics.gauge(
         "robinrun_follows_configuration", [this] { return m_configFeed->isFollowing() ? 1.0 : 0.0; });
     metrics.gauge("robinrun_store_read_seconds{kind=\"read-configuration\"}",
-        [this] { return toSeconds(m_configFeed->readingFor(monotonicNow())); });
+        [this] { return toSeconds(m_configFeed->currentReadDuration(monotonicNow())); });
     metrics.gauge("robinrun_store_read_seconds{kind=\"read-nodes\"}",
-        [this] { return toSeconds(m_nodesFeed->readingFor(monotonicNow())); });
+        [this] { return toSeconds(m_nodesFeed->currentReadDuration(monotonicNow())); });
     metrics.gauge("robinrun_store_entries_unreadable",
-        [this] { return double(m_configFeed->unreadable() + m_nodesFeed->unreadable()); });
+        [this] { return double(m_configFeed->unreadableEntries() + m_nodesFeed->unreadableEntries()); });
     addStoreGauges("read-configuration", *m_configFeed);
     addStoreGauges("read-nodes", *m_nodesFeed);
     addStoreGauges("write-node", *m_writer);
@@ -340,14 +341,14 @@
         return exchange.reply({ badRequest, {}, read.error() + "\n" });
     }
     m_finder->stop();
-    if (m_announced.take(read.value()))
+    if (m_announced.applyAnnouncement(read.value()))
         upstreamChanged(now);
     const auto& told = read.value();
     if (told.life.key() == m_owner->upstream()) {
         m_owner->heardFromBackend(now);
         const bool isLatest = told.sequence == m_announced.current()->sequence;
-        if (told.coldFor && isLatest)
-            m_owner->heardWarmUp(*told.coldFor, now);
+        if (told.remainingColdTime && isLatest)
+            m_owner->heardWarmUp(*told.remainingColdTime, now);
     }
     // Only now: from here on nothing new goes to a server that has said it leaves.
     exchange.reply({ ok, { { "Content-Type", "application/json" } }, "{}" });
--- a/src/Mesh/MeshNode.h
+++ b/src/Mesh/MeshNode.h
@@ -3,20 +3,20 @@
 #include "Chart/Charts.h"
 #include "Http/HttpServer.h"
 #include "Mesh/AnnouncedUpstream.h"
-#include "Mesh/BackendFinder.h"
-#include "Mesh/ConfigCopies.h"
-#include "Mesh/ConfigFetch.h"
+#include "Mesh/BackendDiscovery.h"
 #include "Mesh/ConfigHolder.h"
-#include "Mesh/ContactReach.h"
-#include "Mesh/CrashNews.h"
+#include "Mesh/ConfigPartAssembler.h"
+#include "Mesh/ConfigPartServer.h"
+#include "Mesh/ConfigPullScheduler.h"
+#include "Mesh/ContactReachability.h"
+#include "Mesh/CrashRecords.h"
 #include "Mesh/EmptiedHalls.h"
-#include "Mesh/FollowShare.h"
+#include "Mesh/FollowerSelection.h"
 #include "Mesh/Gossip.h"
 #include "Mesh/MeshFormats.h"
 #include "Mesh/NodeRegistry.h"
-#include "Mesh/PullPlan.h"
 #include "Mesh/RecordWriter.h"
-#include "Mesh/StoreWatch.h"
+#include "Mesh/StoreReadTiming.h"
 #include "Mesh/TopicFollower.h"
 #include "Mesh/WatchGroup.h"
 #include "Node/DrainEnd.h"
@@ -129,11 +129,11 @@
     /// \returns a share of the time in which all nodes may write at once, within the store's rates.
     Duration rewriteDelay();
     /// \brief Puts the configuration that was adopted just now in force. \param former in force before.
-    void configurationAdopted(ConfigText former, Instant now);
+    void configurationAdopted(ConfigVersionText former, Instant now);
     /// \returns whether others watch the store for this node.
     bool isWatched(Instant now) const
     {
-        return m_group.isMember() ? m_share.mayRest(now) : m_group.isWatched(now);
+        return m_group.isMember() ? m_share.mayStandBy(now) : m_group.mayStandBy(now);
     }
     /// \brief What a contact says of how fresh its configuration is.
     void takeConfirmation(const proto::NodeContact& contact, Instant now);
@@ -168,7 +168,7 @@
     /// \brief Passes on in a moment what the gossip has kept for that.
     void relaySoon();
     /// \returns what answers \a sender along the link that its message came by.
-    Gossip::Reply replyTo(const PeerSocket::Sender& sender, Instant now);
+    Gossip::ReplyFunction replyTo(const PeerSocket::Sender& sender, Instant now);
     /// \returns how long to wait until the nodes' topic is read again.
     Duration nodesPause();
     /// \returns how many nodes are known that are not gone. Cost: O(nodes).
@@ -215,17 +215,17 @@
     std::unique_ptr<TopicFollower> m_configFeed;
     std::unique_ptr<TopicFollower> m_nodesFeed;
     std::unique_ptr<RecordWriter> m_writer;
-    std::unique_ptr<BackendFinder> m_finder;
+    std::unique_ptr<BackendDiscovery> m_finder;
     ConfigHolder m_config;
     EmptiedHalls m_halls;
     NodeRegistry m_registry;
     Gossip m_gossip;
-    FollowShare m_share;
-    StoreWatch m_watch;
+    FollowerSelection m_share;
+    StoreReadTiming m_watch;
     WatchGroup m_group;
-    PullPlan m_pulls;
-    ConfigFetch m_fetch;
-    ConfigCopies m_copies;
+    ConfigPullScheduler m_pulls;
+    ConfigPartAssembler m_fetch;
+    ConfigPartServer m_copies;
     AnnouncedUpstream m_announced;
     proto::NodeRecord m_record; ///< of this node, as last published
     bool m_isRebuildPending = false;
@@ -234,7 +234,7 @@
     bool m_hasReadConfiguration = false;
     bool m_hasReadNodesSince = false; ///< since this life's record was written first
     bool m_isStopping = false;
-    ContactReach m_reach;
+    ContactReachability m_reach;
     std::vector<std::unique_ptr<RecordWriter>> m_forgotten; ///< they take away the records of lost nodes
     std::set<std::string> m_lostPeers; ///< addresses of links that have ended and were not heard since
     Instant m_adopted {}; ///< when the configuration in force was
--- a/src/Mesh/MeshNodeCrashes.cpp
+++ b/src/Mesh/MeshNodeCrashes.cpp
@@ -21,13 +21,13 @@
 
 void MeshNode::tellCrash(const proto::CrashReport& report)
 {
-    crashNews::add(m_record, report);
+    crashRecords::add(m_record, report);
     publish(monotonicNow());
 }
 
 void MeshNode::tellAcquittal(const proto::CrashAcquittal& acquittal)
 {
-    crashNews::add(m_record, acquittal);
+    crashRecords::add(m_record, acquittal);
     if (std::exchange(m_isAcquittalPending, true))
         return;
     // The store does not need them: without one, a strike counts that a good end clears again.
@@ -41,7 +41,7 @@
 {
     bool isNews = false;
     for (const auto& it : former.crashes())
-        isNews = crashNews::add(m_record, it) || isNews;
+        isNews = crashRecords::add(m_record, it) || isNews;
     if (isNews)
         publish(now);
 }
@@ -53,7 +53,7 @@
     if (m_nodesFeed->isCaughtUp() || now - m_started > longestWriteHold)
         m_isWriteHeld = false;
     if (!m_isWriteHeld)
-        m_writer->set(m_record.SerializeAsString());
+        m_writer->setValue(m_record.SerializeAsString());
 }
 
 void MeshNode::heardOfCrashes(Instant now)
@@ -64,7 +64,7 @@
         writeRecord(now);
     const bool isInformed
         = m_nodesFeed->isCaughtUp() || m_hasComparedRecords || now - m_started > longestUninformed;
-    if (m_config.hasAny() && isInformed)
+    if (m_config.hasConfiguration() && isInformed)
         m_ingress->setConfigured(true);
 }
 
--- a/src/Mesh/MeshNodeLife.cpp
+++ b/src/Mesh/MeshNodeLife.cpp
@@ -28,22 +28,22 @@
 
 bool MeshNode::isReady() const
 {
-    if (m_isStopping || !m_config.hasAny())
+    if (m_isStopping || !m_config.hasConfiguration())
         return false;
     return m_nodesFeed->isCaughtUp() || monotonicNow() - m_started > readyAnyway;
 }
 
 void MeshNode::offerConfiguration(std::string_view text, std::string_view source, Instant now)
 {
-    ConfigText former { m_config.version(), m_config.text() };
-    if (m_config.offer(text, source, m_formats))
+    ConfigVersionText former { m_config.version(), m_config.text() };
+    if (m_config.adoptIfNewer(text, source, m_formats))
         configurationAdopted(std::move(former), now);
 }
 
 void MeshNode::takeStoredConfiguration(const KeyedPage& page, Instant now)
 {
     // Before the configuration: a node that gets its first one must know which halls it may use.
-    if (m_halls.take(page, m_formats.emptiedHallOf))
+    if (m_halls.applyPage(page, m_formats.parseEmptiedHall))
         hallsChanged(now);
     const auto& records = page.records;
     // What the store has just confirmed is told while it is fresh: of 300 nodes none has to read for itself
@@ -52,21 +52,22 @@
         m_nextContact = now;
     if (records.empty())
         return;
-    ConfigText former { m_config.version(), m_config.text() };
-    if (m_config.offerNewest(records, "store", m_formats))
+    ConfigVersionText former { m_config.version(), m_config.text() };
+    if (m_config.adoptNewest(records, "store", m_formats))
         configurationAdopted(std::move(former), now);
 }
 
-void MeshNode::configurationAdopted(ConfigText former, Instant now)
+void MeshNode::configurationAdopted(ConfigVersionText former, Instant now)
 {
     if (former.version)
-        m_copies.keepFormer(std::move(former));
-    m_fetch.adopted();
+        m_copies.addFormerText(std::move(former));
+    m_fetch.onAdopted();
     m_adopted = now;
-    m_pulls.got(m_config.version(), now);
-    m_group.adopted(m_config.version());
+    m_pulls.onAdopted(m_config.version(), now);
+    m_group.onAdopted(m_config.version());
     const auto& limits = m_config.current()->limits;
-    m_callers->setLimits(limits.maxHeaders, limits.maxBody, limits.headerTimeout, limits.idleTimeout);
+    m_callers->setLimits(
+        limits.maxHeaderBytes, limits.maxBodyBytes, limits.headerTimeout, limits.idleTimeout);
     rebuild();
     heardOfCrashes(now);
     step(NodeEvent::Configured);
@@ -82,7 +83,7 @@
 void MeshNode::storeReturned(Instant now)
 {
     m_context.metrics.count("robinrun_store_returns_total");
-    m_writer->writeAgain(rewriteDelay());
+    m_writer->rewriteAfter(rewriteDelay());
     tellContacts(now);
 }
 
@@ -127,7 +128,7 @@
 
 void MeshNode::rebuild()
 {
-    if (!m_config.hasAny())
+    if (!m_config.hasConfiguration())
         return;
     auto resources = m_config.current()->resources;
     for (auto& it : resources) {
@@ -145,10 +146,10 @@
     m_isRebuildPending = false;
     m_rebuildTimer = Timer();
     watchAmongNodes();
-    if (!m_config.hasAny())
+    if (!m_config.hasConfiguration())
         return;
     const auto now = monotonicNow();
-    m_context.directory.setEmptiedHalls(m_halls.emptied());
+    m_context.directory.setEmptiedHalls(m_halls.emptiedHalls());
     m_context.directory.replaceUpstreams(usableUpstreams());
     m_ingress->setRetryBurst(retryBurst());
     // First: the owner may answer callers, whose next requests may go to services that are new.
@@ -187,7 +188,7 @@
 
 void MeshNode::noteProof(Instant now)
 {
-    const auto age = m_group.age(now);
+    const auto age = m_group.confirmationAge(now);
     m_context.isConfigProven = age && *age + proofSlack < m_context.settings.credentials.revokeWithin;
 }
 
@@ -200,7 +201,7 @@
     heardOfCrashes(now);
     m_owner->tick(now);
     m_rates->tick(now);
-    if (m_halls.tick(m_store->era().era(), now))
+    if (m_halls.expireFormerEras(m_store->era().era(), now))
         hallsChanged(now);
     m_peers->closeIdle(now);
     flushLog();
@@ -238,17 +239,17 @@
 void MeshNode::followIfNeeded(Instant now)
 {
     // Peers claim to follow, and to have a version, that none of them gives: the store has it.
-    if (m_configFeed->isResting() && m_pulls.isOverdue(now) && now >= m_nextOverdueRead) {
+    if (m_configFeed->isOnStandby() && m_pulls.isOverdue(now) && now >= m_nextOverdueRead) {
         m_nextOverdueRead = now + betweenOverdueReads;
-        return m_configFeed->wake();
+        return m_configFeed->resume();
     }
-    if (!m_configFeed->isResting() || isWatched(now)) {
+    if (!m_configFeed->isOnStandby() || isWatched(now)) {
         m_restUntil = now + (m_group.isMember() ? m_share.takeOverDelay(now) : m_group.takeOverDelay());
         return;
     }
     if (now < m_restUntil)
         return;
-    m_configFeed->wake(); // contacts are told once the store has answered, so that the next ones need not
+    m_configFeed->resume(); // contacts are told once the store has answered, so that the next ones need not
 }
 
 void MeshNode::reload(const NodeSettings& settings)
@@ -286,7 +287,7 @@
     // The backend server has left before: this node will not be back.
     m_record.set_gone(true);
     m_gossip.publish(m_record, now);
-    m_writer->set("");
+    m_writer->setValue("");
 }
 
 void MeshNode::step(NodeEvent event)
--- a/src/Mesh/MeshNodePeers.cpp
+++ b/src/Mesh/MeshNodePeers.cpp
@@ -32,7 +32,7 @@
 void MeshNode::tellRecord(Instant now)
 {
     m_record.set_sequence(m_record.sequence() + 1);
-    m_registry.take(m_record);
+    m_registry.mergeRecord(m_record);
     m_isContactOpening = false;
     m_gossip.publish(m_record, now);
     // Contacts whose links were only just opened have heard nothing.
@@ -47,22 +47,22 @@
     contact.set_config_version(m_config.version());
     contact.set_registry_digest(m_registry.digest());
     contact.set_follows_configuration(m_configFeed->isFollowing());
-    if (const auto confirmed = m_configFeed->confirmed())
-        m_group.read(*confirmed);
+    if (const auto confirmed = m_configFeed->confirmedAt())
+        m_group.onRead(*confirmed);
     if (const auto failed = m_configFeed->failedAt())
-        m_group.readFailed(*failed);
+        m_group.onReadFailed(*failed);
     if (const auto& outage = m_group.outage()) {
-        contact.set_outage_age_ms(1 + static_cast<std::uint32_t>(toMilliseconds(now - outage->at)));
-        contact.set_outage_by(outage->by);
+        contact.set_outage_age_ms(1 + static_cast<std::uint32_t>(toMilliseconds(now - outage->observedAt)));
+        contact.set_outage_by(outage->readerRank);
     }
     if (const auto known = m_group.confirmation()) {
-        contact.set_confirmed_age_ms(1 + static_cast<std::uint32_t>(toMilliseconds(now - known->at)));
-        contact.set_confirmed_by(known->by);
+        contact.set_confirmed_age_ms(1 + static_cast<std::uint32_t>(toMilliseconds(now - known->observedAt)));
+        contact.set_confirmed_by(known->readerRank);
     }
-    m_halls.tell(contact);
+    m_halls.addToContact(contact);
     contact.set_store_era(m_store->era().era());
     m_isContactOpening = false;
-    m_gossip.tellContacts(contact, now);
+    m_gossip.sendContact(contact, now);
     if (m_group.isMember())
         tellWatchGroup(contact, now);
     m_nextContact = now + (m_isContactOpening ? connectingAgain : m_context.settings.peers.contactEvery);
@@ -75,7 +75,7 @@
     std::set<std::string> told;
     for (const auto& it : m_registry.contactsOf(m_context.settings.name, m_context.settings.peers.contacts))
         told.insert(m_registry.find(it)->peer_address());
-    for (const auto& it : m_group.others()) {
+    for (const auto& it : m_group.otherMembers()) {
         if (told.contains(it))
             continue;
         proto::PeerMessage message;
@@ -91,7 +91,7 @@
     if (result == SendResult::Connecting)
         m_isContactOpening = true;
     if (result == SendResult::Sent)
-        m_reach.reached(address, now);
+        m_reach.onReached(address, now);
 }
 
 void MeshNode::forgetLost(Instant now)
@@ -103,17 +103,17 @@
         addresses.push_back(m_registry.find(it)->peer_address());
         nodes[addresses.back()] = it;
     }
-    for (const auto& it : m_reach.takeLost(addresses, now)) {
+    for (const auto& it : m_reach.removeLost(addresses, now)) {
         auto record = *m_registry.find(nodes[it]);
         log(LogLevel::Warning, "peer-forgotten",
             { { "peer", record.node() }, { "unreached_s", toSeconds(settings.peers.forgetAfter) } });
         record.set_gone(true);
         takeRecord(record, now);
-        m_gossip.spread(record, "");
+        m_gossip.queueRelay(record, "");
         relaySoon();
         m_forgotten.push_back(
             std::make_unique<RecordWriter>(m_context.base, *m_store, m_formats.nodesTopic, record.node()));
-        m_forgotten.back()->set("");
+        m_forgotten.back()->setValue("");
     }
     std::erase_if(m_forgotten, [](const auto& it) { return it->isWritten(); });
 }
@@ -123,12 +123,12 @@
     if (!std::exchange(m_isRelayPending, true)) {
         m_relayTimer = Timer::once(m_context.base, relayDelay, [this] {
             m_isRelayPending = false;
-            m_gossip.flush(m_context.random, monotonicNow());
+            m_gossip.sendRelays(m_context.random, monotonicNow());
         });
     }
 }
 
-Gossip::Reply MeshNode::replyTo(const PeerSocket::Sender& sender, Instant now)
+Gossip::ReplyFunction MeshNode::replyTo(const PeerSocket::Sender& sender, Instant now)
 {
     return [this, sender, now](proto::PeerMessage& message) { m_peers->answer(sender, message, now); };
 }
@@ -157,7 +157,7 @@
     case proto::PeerMessage::kNodeRecords:
         return takeRecords(sender, message.node_records(), now);
     case proto::PeerMessage::kRegistryDigests:
-        return m_gossip.answer(message.registry_digests(), replyTo(sender, now));
+        return m_gossip.answerDigests(message.registry_digests(), replyTo(sender, now));
     case proto::PeerMessage::kConfigPartRequest:
         return takePartRequest(sender, message.config_part_request(), now);
     case proto::PeerMessage::kConfigPart:
@@ -181,17 +181,17 @@
 void MeshNode::takeContact(const PeerSocket::Sender& sender, const proto::NodeContact& contact, Instant now)
 {
     m_store->heardEra(contact.store_era(), now);
-    if (m_halls.heard(contact))
+    if (m_halls.applyContact(contact))
         hallsChanged(now);
-    m_share.heard(sender.address, contact.follows_configuration(), now);
+    m_share.onPeerStatus(sender.address, contact.follows_configuration(), now);
     takeConfirmation(contact, now);
-    m_gossip.heardDigest(
+    m_gossip.onDigest(
         contact.registry_digest(), isNewLife(sender.node, sender.incarnation), replyTo(sender, now), now);
     if (contact.config_version() <= m_config.version())
         return;
     const auto* known = m_registry.find(sender.node);
     const bool isNear = known && known->data_hall() == m_context.settings.dataHall;
-    m_pulls.heard(sender.address, contact.config_version(), isNear, now);
+    m_pulls.onPeerVersion(sender.address, contact.config_version(), isNear, now);
     pullIfDue(now);
 }
 
@@ -199,13 +199,14 @@
 {
     if (contact.outage_age_ms()) {
         const auto outageAge = std::chrono::milliseconds(contact.outage_age_ms() - 1);
-        m_group.heardOutage({ contact.outage_by(), now - outageAge });
+        m_group.onOutage({ contact.outage_by(), now - outageAge });
     }
     if (!contact.confirmed_age_ms())
         return;
     const auto age = std::chrono::milliseconds(contact.confirmed_age_ms() - 1);
-    const auto before = m_group.age(now);
-    const bool isFresher = m_group.heard(contact.config_version(), { contact.confirmed_by(), now - age });
+    const auto before = m_group.confirmationAge(now);
+    const bool isFresher
+        = m_group.onPeerConfirmation(contact.config_version(), { contact.confirmed_by(), now - age });
     // Where all have waited for it, it is passed on at once, before others read too.
     if (isFresher && before && *before > passedOnAtOnce)
         m_nextContact = now;
@@ -215,9 +216,9 @@
 {
     for (const auto& it : records.records()) {
         if (takeRecord(it, now))
-            m_gossip.spread(it, sender.node);
+            m_gossip.queueRelay(it, sender.node);
     }
-    m_gossip.complete(records, replyTo(sender, now));
+    m_gossip.sendMissingRecords(records, replyTo(sender, now));
     relaySoon();
     m_hasComparedRecords = m_hasComparedRecords || records.whole_buckets_size() > 0;
     heardOfCrashes(now);
@@ -225,19 +226,19 @@
 
 bool MeshNode::takeRecord(const proto::NodeRecord& record, Instant now)
 {
-    if (const auto fault = faultOf(record); !fault.empty()) {
+    if (const auto fault = validationError(record); !fault.empty()) {
         noteForeign("node-record", record.node(), fault);
         return false;
     }
-    m_isCrashNews = crashNews::take(record, m_context.crashes, now) || m_isCrashNews;
+    m_isCrashNews = crashRecords::mergeIntoLedger(record, m_context.crashes, now) || m_isCrashNews;
     if (record.node() == m_context.settings.name)
         return takeOwnRecord(record, now);
     const bool isNew = isNewLife(record.node(), record.incarnation());
-    const auto change = m_registry.take(record);
+    const auto change = m_registry.mergeRecord(record);
     if (change == NodeRegistry::Change::Changed)
         rebuildSoon();
     if (isNew && !record.upstream().empty())
-        m_ingress->revive(lifeOf(record).key(), now);
+        m_ingress->revive(backendLifeOf(record).key(), now);
     return change != NodeRegistry::Change::None;
 }
 
@@ -246,7 +247,7 @@
     proto::NodeRecord record;
     if (!stored.value.empty()) {
         const bool isRecord = record.ParseFromString(stored.value) && record.node() == stored.key;
-        const auto fault = isRecord ? faultOf(record) : "is no record of this key";
+        const auto fault = isRecord ? validationError(record) : "is no record of this key";
         if (fault.empty())
             return record;
         noteForeign("node-record", stored.key, fault);
@@ -271,14 +272,14 @@
 
 bool MeshNode::takeOwnRecord(const proto::NodeRecord& record, Instant now)
 {
-    const bool isNews = m_registry.take(record) != NodeRegistry::Change::None;
+    const bool isNews = m_registry.mergeRecord(record) != NodeRegistry::Change::None;
     // What a former life of this node has acknowledged binds this one too.
     const bool isFormer = record.incarnation() != m_record.incarnation();
     if (isFormer && NodeRegistry::isLater(record, m_record))
         outrank(record, now);
     if (isFormer)
         keepFormerCrashes(record, now);
-    if (isFormer && record.leaving() && m_announced.hasLeftBefore(lifeOf(record)))
+    if (isFormer && record.leaving() && m_announced.markLeaving(backendLifeOf(record)))
         upstreamChanged(now);
     // Somebody took this node for gone.
     if (!isFormer && record.gone() && !m_record.gone())
@@ -321,22 +322,22 @@
 
 void MeshNode::takePart(const PeerSocket::Sender& sender, const proto::ConfigPart& part, Instant now)
 {
-    switch (m_fetch.take(part, m_config.version())) {
-    case ConfigFetch::Progress::None:
+    switch (m_fetch.addPart(part, m_config.version())) {
+    case ConfigPartAssembler::PartResult::Ignored:
         return;
-    case ConfigFetch::Progress::Whole:
+    case ConfigPartAssembler::PartResult::Complete:
         return takeCopy(sender.node, now);
-    case ConfigFetch::Progress::More:
+    case ConfigPartAssembler::PartResult::Incomplete:
         break;
     }
-    m_pulls.progressed(now);
+    m_pulls.onPartReceived(now);
     auto message = partRequest();
     m_peers->answer(sender, message, now);
 }
 
 void MeshNode::takeCopy(const std::string& source, Instant now)
 {
-    const auto text = m_fetch.text(m_config.text());
+    const auto text = m_fetch.decodeCopy(m_config.text());
     if (text)
         return offerConfiguration(text.value(), source, now);
     log(LogLevel::Warning, "configuration-copy-unreadable",
@@ -346,13 +347,13 @@
 proto::PeerMessage MeshNode::partRequest() const
 {
     proto::PeerMessage out;
-    *out.mutable_config_part_request() = m_fetch.request(m_config.version(), m_config.text());
+    *out.mutable_config_part_request() = m_fetch.makeRequest(m_config.version(), m_config.text());
     return out;
 }
 
 void MeshNode::pullIfDue(Instant now)
 {
-    const auto address = m_pulls.due(m_config.hasAny() && m_configFeed->isFollowing(), now);
+    const auto address = m_pulls.peerToAsk(m_config.hasConfiguration() && m_configFeed->isFollowing(), now);
     if (!address)
         return;
     auto message = partRequest();
@@ -361,11 +362,11 @@
     if (result == SendResult::Connecting)
         return;
     if (result == SendResult::Unreachable)
-        return m_pulls.unreachable(*address);
+        return m_pulls.removePeer(*address);
     log(LogLevel::Info, "configuration-asked",
-        { { "peer", *address }, { "version", m_pulls.newestHeard() },
+        { { "peer", *address }, { "version", m_pulls.newestPeerVersion() },
             { "offset", message.config_part_request().offset() } });
-    m_pulls.asked(*address, now);
+    m_pulls.onRequestSent(*address, now);
 }
 
 } // namespace robinrun
--- a/src/Mesh/MeshNodeRates.cpp
+++ b/src/Mesh/MeshNodeRates.cpp
@@ -22,7 +22,7 @@
 {
     auto& metrics = m_context.metrics;
     metrics.gauge("robinrun_config_faults",
-        [this] { return m_config.hasAny() ? double(m_config.current()->faults.size()) : 0.0; });
+        [this] { return m_config.hasConfiguration() ? double(m_config.current()->errors.size()) : 0.0; });
     metrics.gauge("robinrun_config_proven", [this] { return m_context.isConfigProven ? 1.0 : 0.0; });
     metrics.gauge("robinrun_rate_groups_held", [this] { return double(m_rates->groups()); });
     metrics.gauge("robinrun_rate_accounts", [this] { return double(m_rates->accounts()); });
--- a/src/Mesh/NodeRegistry.cpp
+++ b/src/Mesh/NodeRegistry.cpp
@@ -2,7 +2,7 @@
 
 #include "Core/Hash.h"
 #include "Http/HttpTypes.h"
-#include "Mesh/CrashNews.h"
+#include "Mesh/CrashRecords.h"
 
 #include <algorithm>
 #include <string_view>
@@ -14,28 +14,29 @@
 namespace {
 
     /// \returns what orders the records of one node; the later one compares greater.
-    auto orderOf(const proto::NodeRecord& record)
+    auto recordOrder(const proto::NodeRecord& record)
     {
         return std::make_tuple(record.incarnation(), record.sequence(), record.gone());
     }
 
     /// \returns whether two records of a node are the same to routing.
-    bool isAlike(const proto::NodeRecord& a, const proto::NodeRecord& b)
+    bool isSameForRouting(const proto::NodeRecord& a, const proto::NodeRecord& b)
     {
         return a.incarnation() == b.incarnation() && a.peer_address() == b.peer_address()
-            && a.data_hall() == b.data_hall() && a.service() == b.service() && lifeOf(a) == lifeOf(b)
-            && a.slots() == b.slots() && a.leaving() == b.leaving() && a.gone() == b.gone();
+            && a.data_hall() == b.data_hall() && a.service() == b.service()
+            && backendLifeOf(a) == backendLifeOf(b) && a.slots() == b.slots() && a.leaving() == b.leaving()
+            && a.gone() == b.gone();
     }
 
     /// \returns a hash of a node's name and of what orders its records.
-    std::uint64_t hashOf(const proto::NodeRecord& record)
+    std::uint64_t recordHash(const proto::NodeRecord& record)
     {
         return hash64(record.node() + '\n' + std::to_string(record.incarnation()) + '\n'
             + std::to_string(record.sequence()) + (record.gone() ? "\ngone" : ""));
     }
 
     /// \returns the same number for (a, b) as for (b, a).
-    std::uint64_t hashOfPair(const std::string& a, const std::string& b)
+    std::uint64_t pairHash(const std::string& a, const std::string& b)
     {
         const auto& [first, second] = std::minmax(a, b);
         std::string pair = first;
@@ -45,10 +46,10 @@
     }
 
     /// Numbers of records are times in us and counts from 1; 2^53 us are 285 years.
-    constexpr std::uint64_t largestNumber = std::uint64_t { 1 } << 53U;
-    constexpr std::size_t longestText = 255;
+    constexpr std::uint64_t maxRecordNumber = std::uint64_t { 1 } << 53U;
+    constexpr std::size_t maxTextBytes = 255;
 
-    bool isAddress(const std::string& text)
+    bool isIpAndPort(const std::string& text)
     {
         std::string ip;
         std::uint16_t port = 0;
@@ -57,15 +58,15 @@
 
     /// \returns whether \a a names a later start of their server than \a b, or the same one and is the later
     /// record.
-    bool isLaterOfId(const proto::NodeRecord& a, const proto::NodeRecord& b)
+    bool isLaterLife(const proto::NodeRecord& a, const proto::NodeRecord& b)
     {
         return std::make_pair(a.born(), a.incarnation()) > std::make_pair(b.born(), b.incarnation());
     }
 
-    proto::Resource resourceOf(const proto::NodeRecord& record)
+    proto::Resource toResource(const proto::NodeRecord& record)
     {
         proto::Resource out;
-        out.set_name("upstreams/" + lifeOf(record).key());
+        out.set_name("upstreams/" + backendLifeOf(record).key());
         auto& upstream = *out.mutable_upstream();
         upstream.set_service(record.service());
         upstream.set_address(record.address());
@@ -80,57 +81,57 @@
 
 } // namespace
 
-std::string faultOf(const proto::NodeRecord& record)
+std::string validationError(const proto::NodeRecord& record)
 {
     const std::pair<const char*, const std::string&> names[]
         = { { "node", record.node() }, { "data_hall", record.data_hall() }, { "region", record.region() },
               { "service", record.service() }, { "upstream", record.upstream() } };
     for (const auto& [field, text] : names) {
-        if (text.size() > longestText)
-            return std::string(field) + ": has more than " + std::to_string(longestText) + " bytes";
+        if (text.size() > maxTextBytes)
+            return std::string(field) + ": has more than " + std::to_string(maxTextBytes) + " bytes";
     }
     if (record.node().empty())
         return "node: is empty";
-    if (!isAddress(record.peer_address()))
+    if (!isIpAndPort(record.peer_address()))
         return "peer_address: must be ip:port";
-    if (!record.address().empty() && !isAddress(record.address()))
+    if (!record.address().empty() && !isIpAndPort(record.address()))
         return "address: must be ip:port";
     const std::pair<const char*, std::uint64_t> numbers[] = { { "incarnation", record.incarnation() },
         { "sequence", record.sequence() }, { "born", record.born() } };
     for (const auto& [field, number] : numbers) {
-        if (number > largestNumber)
+        if (number > maxRecordNumber)
             return std::string(field) + ": must be at most 2^53";
     }
-    return crashNews::faultOf(record);
+    return crashRecords::validationError(record);
 }
 
-NodeRegistry::Change NodeRegistry::take(const proto::NodeRecord& record)
+NodeRegistry::Change NodeRegistry::mergeRecord(const proto::NodeRecord& record)
 {
     const auto it = m_nodes.find(record.node());
     if (it == m_nodes.end()) {
-        put(record);
+        replaceRecord(record);
         return Change::Changed;
     }
     if (!isLater(record, it->second))
         return Change::None;
-    const bool isSame = isAlike(it->second, record);
-    put(record);
+    const bool isSame = isSameForRouting(it->second, record);
+    replaceRecord(record);
     return isSame ? Change::Refreshed : Change::Changed;
 }
 
-void NodeRegistry::put(const proto::NodeRecord& record)
+void NodeRegistry::replaceRecord(const proto::NodeRecord& record)
 {
     auto& digest = m_digests[bucketOf(record.node())];
     auto& known = m_nodes[record.node()];
     if (!known.node().empty())
-        digest ^= hashOf(known);
+        digest ^= recordHash(known);
     known = record;
-    digest ^= hashOf(known);
+    digest ^= recordHash(known);
 }
 
 bool NodeRegistry::isLater(const proto::NodeRecord& a, const proto::NodeRecord& b)
 {
-    return orderOf(a) > orderOf(b);
+    return recordOrder(a) > recordOrder(b);
 }
 
 std::size_t NodeRegistry::bucketOf(const std::string& node)
@@ -167,14 +168,14 @@
         if (record.upstream().empty() || record.gone())
             continue;
         const auto [it, isFirst] = byId.try_emplace(record.upstream(), &record);
-        if (!isFirst && isLaterOfId(record, *it->second))
+        if (!isFirst && isLaterLife(record, *it->second))
             it->second = &record;
     }
     std::vector<proto::Resource> out;
     for (const auto& [name, record] : m_nodes) {
         const auto it = byId.find(record.upstream());
         if (it != byId.end() && it->second == &record)
-            out.push_back(resourceOf(record));
+            out.push_back(toResource(record));
     }
     return out;
 }
@@ -185,7 +186,7 @@
     for (const auto& [name, record] : m_nodes) {
         if (name == self || record.gone())
             continue;
-        ranked.emplace_back(hashOfPair(self, name), name);
+        ranked.emplace_back(pairHash(self, name), name);
     }
     std::sort(ranked.begin(), ranked.end());
     std::vector<std::string> out;
--- a/src/Mesh/NodeRegistry.h
+++ b/src/Mesh/NodeRegistry.h
@@ -13,14 +13,14 @@
 namespace robinrun {
 
 /// \returns which start of its backend server a node's record is about; an empty id if none is known.
-inline BackendLife lifeOf(const proto::NodeRecord& record)
+inline BackendLife backendLifeOf(const proto::NodeRecord& record)
 {
     return BackendLife(record.upstream(), record.born());
 }
 
 /// \returns why a record can't be one that a node has written, with the field; "" if it can. Other writers
 /// may use the store, and a number no clock shows would hide all that the node itself says later.
-std::string faultOf(const proto::NodeRecord& record);
+std::string validationError(const proto::NodeRecord& record);
 
 /// \brief What this node knows of all nodes and the upstreams beside them, from the store and from peers.
 ///
@@ -42,7 +42,7 @@
     };
 
     /// \brief Takes a record in unless a later one of its node is known. \returns what has changed.
-    Change take(const proto::NodeRecord& record);
+    Change mergeRecord(const proto::NodeRecord& record);
 
     /// \returns what is known of a node; null if nothing is. Holds until the next take().
     const proto::NodeRecord* find(const std::string& node) const;
@@ -74,7 +74,7 @@
     static bool isLater(const proto::NodeRecord& a, const proto::NodeRecord& b);
 
 private:
-    void put(const proto::NodeRecord& record);
+    void replaceRecord(const proto::NodeRecord& record);
 
     std::map<std::string, proto::NodeRecord> m_nodes;
     Digests m_digests {};
--- a/src/Mesh/RecordWriter.cpp
+++ b/src/Mesh/RecordWriter.cpp
@@ -8,8 +8,8 @@
 namespace {
 
     /// Entries have to be back about two seconds after the store is; so no pause is longer than half of that.
-    constexpr Duration longestPause = 1s;
-    constexpr Duration firstPause = 200ms;
+    constexpr Duration maxRetryDelay = 1s;
+    constexpr Duration initialRetryDelay = 200ms;
 
 } // namespace
 
@@ -26,49 +26,50 @@
     *m_isAlive = false;
 }
 
-void RecordWriter::set(std::string value)
+void RecordWriter::setValue(std::string value)
 {
     m_value = std::move(value);
     m_hasValue = true;
-    m_isWanted = true;
-    if (!m_isOut && m_pause == Duration::zero())
+    m_isWritePending = true;
+    if (!m_isWriting && m_retryDelay == Duration::zero())
         write();
 }
 
-void RecordWriter::writeAgain(Duration spread)
+void RecordWriter::rewriteAfter(Duration delay)
 {
     if (!m_hasValue)
         return;
-    m_isWanted = true;
-    if (m_isOut || m_pause > Duration::zero())
+    m_isWritePending = true;
+    if (m_isWriting || m_retryDelay > Duration::zero())
         return; // it is written once that call has ended
-    m_again = Timer::once(m_base, std::max(spread, Duration(1)), [this] { write(); });
+    m_timer = Timer::once(m_base, std::max(delay, Duration(1)), [this] { write(); });
 }
 
 void RecordWriter::write()
 {
-    if (m_isOut || !m_isWanted)
+    if (m_isWriting || !m_isWritePending)
         return;
-    m_isOut = true;
-    m_isWanted = false;
-    ++m_calls;
+    m_isWriting = true;
+    m_isWritePending = false;
+    ++m_callCount;
     m_store->write(m_topic, m_key, m_value, [this, isAlive = m_isAlive](Result<void, PlatformError> result) {
         if (!*isAlive)
             return;
-        m_isOut = false;
+        m_isWriting = false;
         if (result) {
-            m_pause = {};
-            if (m_written)
-                m_written();
+            m_retryDelay = {};
+            if (m_onWritten)
+                m_onWritten();
             return write();
         }
-        ++m_failures;
+        ++m_failureCount;
         log(LogLevel::Warning, "record-not-written",
             { { "topic", m_topic }, { "key", m_key }, { "error", nameOf(result.error().kind) },
                 { "message", result.error().message } });
-        m_isWanted = true;
-        m_pause = m_pause > Duration::zero() ? std::min(2 * m_pause, longestPause) : firstPause;
-        m_again = Timer::once(m_base, m_pause, [this] { write(); });
+        m_isWritePending = true;
+        m_retryDelay
+            = m_retryDelay > Duration::zero() ? std::min(2 * m_retryDelay, maxRetryDelay) : initialRetryDelay;
+        m_timer = Timer::once(m_base, m_retryDelay, [this] { write(); });
     });
 }
 
--- a/src/Mesh/RecordWriter.h
+++ b/src/Mesh/RecordWriter.h
@@ -25,19 +25,19 @@
     RecordWriter& operator=(const RecordWriter&) = delete;
 
     /// \brief Sets the value; empty takes the key away.
-    void set(std::string value);
+    void setValue(std::string value);
 
-    /// \brief The store may have lost what was written: writes the value once more, within \a spread.
-    void writeAgain(Duration spread);
+    /// \brief The store may have lost what was written: writes the value once more, within \a delay.
+    void rewriteAfter(Duration delay);
 
     /// \returns whether the last value that was set is in the store.
-    bool isWritten() const { return !m_isWanted && !m_isOut; }
+    bool isWritten() const { return !m_isWritePending && !m_isWriting; }
     /// \returns writes made so far, failed ones too.
-    std::uint64_t calls() const { return m_calls; }
+    std::uint64_t calls() const { return m_callCount; }
     /// \returns how many of them failed.
-    std::uint64_t failures() const { return m_failures; }
+    std::uint64_t failures() const { return m_failureCount; }
     /// \brief Runs \a f each time that a write has succeeded.
-    void onWritten(std::function<void()> f) { m_written = std::move(f); }
+    void onWritten(std::function<void()> f) { m_onWritten = std::move(f); }
 
 private:
     void write();
@@ -48,13 +48,13 @@
     std::string m_key;
     std::string m_value;
     bool m_hasValue = false; ///< one was set
-    bool m_isWanted = false;
-    bool m_isOut = false;
-    Duration m_pause {}; ///< the last one after a failure; zero after a success
-    std::uint64_t m_calls = 0;
-    std::uint64_t m_failures = 0;
-    std::function<void()> m_written;
-    Timer m_again;
+    bool m_isWritePending = false;
+    bool m_isWriting = false;
+    Duration m_retryDelay {}; ///< the last one after a failure; zero after a success
+    std::uint64_t m_callCount = 0;
+    std::uint64_t m_failureCount = 0;
+    std::function<void()> m_onWritten;
+    Timer m_timer;
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/src/Mesh/StoreWatch.h
+++ b/src/Mesh/StoreReadTiming.h
@@ -17,30 +17,30 @@
 ///
 /// Caveat: beyond about 300 nodes (with 4 followers of 16 contacts) the longest wait binds, and the reads a
 /// second grow with the nodes. Cost: O(1); no I/O.
-class StoreWatch {
+class StoreReadTiming {
 public:
     struct Options {
-        std::size_t followers = 4; ///< followers that a node hears of before it rests; \sa FollowShare
-        std::size_t contacts = 16; ///< peers that each node hears
+        std::size_t targetFollowers = 4; ///< followers that a node hears of before it rests; \sa FollowShare
+        std::size_t maxContacts = 16; ///< peers that each node hears
     };
 
-    explicit StoreWatch(Options options)
+    explicit StoreReadTiming(Options options)
         : m_options(options)
     {
     }
 
     /// \returns about how many of \a nodes follow the configuration in the store.
-    double followersOf(std::size_t nodes) const;
+    double expectedFollowers(std::size_t nodes) const;
 
     /// \returns the longest that a read waits where \a nodes live.
-    Duration longestWait(std::size_t nodes) const;
+    Duration maxWait(std::size_t nodes) const;
 
-    /// \param draw evenly distributed in [0, 1). \returns how long the next read waits.
-    Duration wait(std::size_t nodes, double draw) const;
+    /// \param uniformSample evenly distributed in [0, 1). \returns how long the next read waits.
+    Duration nextWait(std::size_t nodes, double uniformSample) const;
 
-    /// \param mayLag whether enough others notice the store's return first; \sa FollowShare::mayLag().
-    /// \returns the longest pause after a failed read, at one of \a nodes nodes.
-    static Duration longestPause(std::size_t nodes, bool mayLag);
+    /// \param mayRetrySlowly whether enough others notice the store's return first; \sa
+    /// FollowShare::mayLag(). \returns the longest pause after a failed read, at one of \a nodes nodes.
+    static Duration maxRetryDelay(std::size_t nodes, bool mayRetrySlowly);
 
 private:
     Options m_options;
--- a/src/Mesh/TopicFollower.cpp
+++ b/src/Mesh/TopicFollower.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     /// Pauses after failures are drawn between this part of their length and all of it.
-    constexpr double leastJitter = 0.5;
+    constexpr double minJitterFactor = 0.5;
 
 } // namespace
 
@@ -28,45 +28,45 @@
     *m_isAlive = false;
 }
 
-void TopicFollower::noteSent(Duration wait)
+void TopicFollower::recordReadSent(Duration wait)
 {
-    m_wait = wait;
-    ++m_calls;
+    m_readWait = wait;
+    ++m_callCount;
     m_isReading = true;
-    m_sent = monotonicNow();
+    m_readSentAt = monotonicNow();
 }
 
 void TopicFollower::readNewest()
 {
-    noteSent(Duration::zero());
+    recordReadSent(Duration::zero());
     m_store->newest(
         m_options.topic, [this, isAlive = m_isAlive](const Result<KeyedPage, PlatformError>& page) {
             if (!*isAlive)
                 return;
             if (page)
                 m_isCaughtUp = true;
-            handle(page);
+            onReadEnded(page);
         });
 }
 
-double TopicFollower::jitter()
+double TopicFollower::drawJitter()
 {
-    return leastJitter + (1 - leastJitter) * m_random->unit();
+    return minJitterFactor + (1 - minJitterFactor) * m_random->unit();
 }
 
-void TopicFollower::readAgain()
+void TopicFollower::continueReading()
 {
     m_isPausing = false;
-    if (m_options.mayRest && m_options.mayRest())
-        return rest();
+    if (m_options.mayStandBy && m_options.mayStandBy())
+        return enterStandby();
     if (!m_isCaughtUp)
         return readNewest();
-    readOn();
+    readNext();
 }
 
-void TopicFollower::rest()
+void TopicFollower::enterStandby()
 {
-    m_isResting = true;
+    m_isOnStandby = true;
     // While others read, any number of versions may be written: after the rest the newest record of each key
     // is read, not all that came. Thirty versions of 600 KB are 14 s of a link of 10 Mbit/s, one is half a
     // second.
@@ -76,9 +76,9 @@
     setAnswered(false);
 }
 
-void TopicFollower::wake()
+void TopicFollower::resume()
 {
-    if (std::exchange(m_isResting, false))
+    if (std::exchange(m_isOnStandby, false))
         readNewest();
 }
 
@@ -87,96 +87,96 @@
     // A store that is away may never answer, and a read that waits takes its whole wait more to tell. One
     // that does not is given up after the call's timeout alone, so the return is noticed a timeout and a
     // pause later.
-    return m_isAnswered && m_options.wait ? m_options.wait() : Duration::zero();
+    return m_isLastReadAnswered && m_options.drawWait ? m_options.drawWait() : Duration::zero();
 }
 
-bool TopicFollower::readWithin(Duration delay)
+bool TopicFollower::endPauseAfter(Duration delay)
 {
     if (m_isPausing)
-        readLater(delay);
+        scheduleRead(delay);
     return m_isPausing;
 }
 
-void TopicFollower::readOn()
+void TopicFollower::readNext()
 {
-    noteSent(nextWait());
-    m_store->follow(m_options.topic, m_next, m_wait,
+    recordReadSent(nextWait());
+    m_store->follow(m_options.topic, m_nextPosition, m_readWait,
         [this, isAlive = m_isAlive](const Result<KeyedPage, PlatformError>& page) {
             if (*isAlive)
-                handle(page);
+                onReadEnded(page);
         });
 }
 
-void TopicFollower::handle(const Result<KeyedPage, PlatformError>& page)
+void TopicFollower::onReadEnded(const Result<KeyedPage, PlatformError>& page)
 {
     m_isReading = false;
     if (!page)
-        return failed(page.error());
-    m_retry = {};
-    noteConfirmed(page.value(), monotonicNow());
-    m_next = page.value().next;
-    noteUnreadable(page.value());
+        return onReadFailed(page.error());
+    m_retryDelay = {};
+    updateConfirmedAt(page.value(), monotonicNow());
+    m_nextPosition = page.value().next;
+    countUnreadable(page.value());
     m_handler(page.value());
     setConnected(true, "");
     setAnswered(true);
-    if (!m_options.pause)
-        return readAgain();
+    if (!m_options.drawPause)
+        return continueReading();
     m_isPausing = true;
-    readLater(m_options.pause());
+    scheduleRead(m_options.drawPause());
 }
 
-void TopicFollower::noteConfirmed(const KeyedPage& page, Instant now)
+void TopicFollower::updateConfirmedAt(const KeyedPage& page, Instant now)
 {
-    const bool isNews = m_wait > Duration::zero() && !page.records.empty();
-    m_confirmed = isNews ? now : std::min(m_sent + m_wait, now);
+    const bool hasNewRecords = m_readWait > Duration::zero() && !page.records.empty();
+    m_confirmedAt = hasNewRecords ? now : std::min(m_readSentAt + m_readWait, now);
 }
 
-void TopicFollower::noteUnreadable(const KeyedPage& page)
+void TopicFollower::countUnreadable(const KeyedPage& page)
 {
     if (!page.unreadable)
         return;
-    m_unreadable += page.unreadable;
+    m_unreadableEntries += page.unreadable;
     log(LogLevel::Warning, "store-entries-unreadable",
         { { "topic", m_options.topic }, { "entries", page.unreadable }, { "next", page.next.offset } });
 }
 
-void TopicFollower::failed(const PlatformError& error)
+void TopicFollower::onReadFailed(const PlatformError& error)
 {
     if (error.kind == PlatformErrorKind::Forgotten) {
         log(LogLevel::Info, "topic-forgotten",
-            { { "topic", m_options.topic }, { "from", m_next.offset }, { "why", error.message } });
+            { { "topic", m_options.topic }, { "from", m_nextPosition.offset }, { "why", error.message } });
         return readNewest();
     }
-    ++m_failures;
+    ++m_failureCount;
     m_failedAt = monotonicNow();
     setConnected(false, std::string(nameOf(error.kind)) + ": " + error.message);
     setAnswered(false);
-    m_retry
-        = m_retry > Duration::zero() ? std::min(2 * m_retry, m_options.longestRetry()) : m_options.firstRetry;
-    readLater(fromSeconds(toSeconds(m_retry) * jitter()));
+    m_retryDelay = m_retryDelay > Duration::zero() ? std::min(2 * m_retryDelay, m_options.maxRetryDelay())
+                                                   : m_options.initialRetryDelay;
+    scheduleRead(fromSeconds(toSeconds(m_retryDelay) * drawJitter()));
 }
 
-void TopicFollower::readLater(Duration delay)
+void TopicFollower::scheduleRead(Duration delay)
 {
-    m_again = Timer::once(m_base, delay, [this] { readAgain(); });
+    m_readTimer = Timer::once(m_base, delay, [this] { continueReading(); });
 }
 
 void TopicFollower::setAnswered(bool isAnswered)
 {
-    if (std::exchange(m_isAnswered, isAnswered) != isAnswered && m_options.changed)
-        m_options.changed();
+    if (std::exchange(m_isLastReadAnswered, isAnswered) != isAnswered && m_options.onFollowingChanged)
+        m_options.onFollowingChanged();
 }
 
-void TopicFollower::setConnected(bool isConnected, const std::string& why)
+void TopicFollower::setConnected(bool isConnected, const std::string& cause)
 {
-    const bool isChanged = m_isConnected != isConnected || (!isConnected && !m_hasToldLost);
+    const bool isChanged = m_isConnected != isConnected || (!isConnected && !m_hasLoggedLoss);
     m_isConnected = isConnected;
     if (!isChanged)
         return;
-    m_hasToldLost = !isConnected;
+    m_hasLoggedLoss = !isConnected;
     log(isConnected ? LogLevel::Info : LogLevel::Warning, isConnected ? "store-reached" : "store-lost",
-        { { "topic", m_options.topic }, { "why", why }, { "next", m_next.offset },
-            { "read_ms", toMilliseconds(monotonicNow() - m_sent) } });
+        { { "topic", m_options.topic }, { "why", cause }, { "next", m_nextPosition.offset },
+            { "read_ms", toMilliseconds(monotonicNow() - m_readSentAt) } });
 }
 
 } // namespace robinrun
--- a/src/Mesh/WatchGroup.cpp
+++ b/src/Mesh/WatchGroup.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     /// Versions that are heard of before they are fetched: a change each 0.3 s, and 1 s to fetch one.
-    constexpr std::size_t mostAhead = 8;
+    constexpr std::size_t maxFutureVersions = 8;
 
 } // namespace
 
@@ -28,95 +28,97 @@
         if (it != m_self)
             ranked.emplace_back(hash64(it), it);
     }
-    const auto n = std::min(m_options.size, ranked.size());
+    const auto n = std::min(m_options.maxMembers, ranked.size());
     std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(n), ranked.end());
     ranked.resize(n);
     m_isMember = false;
-    m_others.clear();
+    m_otherMembers.clear();
     m_memberRanks.clear();
     for (auto& [rank, address] : ranked) {
         m_memberRanks.insert(rank);
         if (address == m_self)
             m_isMember = true;
         else
-            m_others.push_back(std::move(address));
+            m_otherMembers.push_back(std::move(address));
     }
 }
 
-void WatchGroup::adopted(std::uint64_t version)
+void WatchGroup::onAdopted(std::uint64_t version)
 {
     m_version = std::max(m_version, version);
-    while (!m_ahead.empty() && m_ahead.begin()->first <= m_version) {
-        takeHeard(m_ahead.begin()->second);
-        m_ahead.erase(m_ahead.begin());
+    while (!m_futureConfirmations.empty() && m_futureConfirmations.begin()->first <= m_version) {
+        updatePeerConfirmation(m_futureConfirmations.begin()->second);
+        m_futureConfirmations.erase(m_futureConfirmations.begin());
     }
 }
 
-bool WatchGroup::heard(std::uint64_t version, const Confirmation& confirmation)
+bool WatchGroup::onPeerConfirmation(std::uint64_t version, const StoreObservation& confirmation)
 {
-    if (confirmation.by >= m_rank)
+    if (confirmation.readerRank >= m_rank)
         return false;
     if (version <= m_version)
-        return takeHeard(confirmation);
-    auto& ahead = m_ahead[version];
-    if (confirmation.at > ahead.at)
-        ahead = confirmation;
-    if (m_ahead.size() > mostAhead)
-        m_ahead.erase(m_ahead.begin());
+        return updatePeerConfirmation(confirmation);
+    auto& known = m_futureConfirmations[version];
+    if (confirmation.observedAt > known.observedAt)
+        known = confirmation;
+    if (m_futureConfirmations.size() > maxFutureVersions)
+        m_futureConfirmations.erase(m_futureConfirmations.begin());
     return false;
 }
 
-bool WatchGroup::takeHeard(const Confirmation& confirmation)
+bool WatchGroup::updatePeerConfirmation(const StoreObservation& confirmation)
 {
-    const bool isFresher = !m_heard || confirmation.at > m_heard->at;
+    const bool isFresher = !m_peerConfirmation || confirmation.observedAt > m_peerConfirmation->observedAt;
     if (isFresher)
-        m_heard = confirmation;
+        m_peerConfirmation = confirmation;
     return isFresher;
 }
 
-void WatchGroup::read(Instant at)
+void WatchGroup::onRead(Instant at)
 {
-    if (!m_read || at > m_read->at)
-        m_read = Confirmation { m_rank, at };
+    if (!m_ownConfirmation || at > m_ownConfirmation->observedAt)
+        m_ownConfirmation = StoreObservation { m_rank, at };
 }
 
-void WatchGroup::heardOutage(const Confirmation& outage)
+void WatchGroup::onOutage(const StoreObservation& outage)
 {
-    const bool isLater = !m_outage || outage.at > m_outage->at;
-    if (isLater && m_memberRanks.contains(outage.by))
+    const bool isLater = !m_outage || outage.observedAt > m_outage->observedAt;
+    if (isLater && m_memberRanks.contains(outage.readerRank))
         m_outage = outage;
 }
 
-void WatchGroup::readFailed(Instant at)
+void WatchGroup::onReadFailed(Instant at)
 {
-    heardOutage({ m_rank, at });
+    onOutage({ m_rank, at });
 }
 
-std::optional<Confirmation> WatchGroup::confirmation() const
+std::optional<StoreObservation> WatchGroup::confirmation() const
 {
-    if (!m_heard || !m_read)
-        return m_heard ? m_heard : m_read;
-    return m_heard->at > m_read->at ? m_heard : m_read;
+    if (!m_peerConfirmation || !m_ownConfirmation)
+        return m_peerConfirmation ? m_peerConfirmation : m_ownConfirmation;
+    return m_peerConfirmation->observedAt > m_ownConfirmation->observedAt ? m_peerConfirmation
+                                                                          : m_ownConfirmation;
 }
 
-std::optional<Duration> WatchGroup::age(Instant now) const
+std::optional<Duration> WatchGroup::confirmationAge(Instant now) const
 {
     const auto known = confirmation();
-    return known ? std::optional(now - known->at) : std::nullopt;
+    return known ? std::optional(now - known->observedAt) : std::nullopt;
 }
 
-bool WatchGroup::isWatched(Instant now) const
+bool WatchGroup::mayStandBy(Instant now) const
 {
-    const bool isFresh = m_heard && now - m_heard->at <= m_options.oldest;
-    const bool isOut = m_outage && now - m_outage->at <= m_options.oldestOutage;
-    return !m_isMember && (isFresh || isOut);
+    const bool isFresh
+        = m_peerConfirmation && now - m_peerConfirmation->observedAt <= m_options.maxConfirmationAge;
+    const bool isOutageRecent = m_outage && now - m_outage->observedAt <= m_options.maxOutageAge;
+    return !m_isMember && (isFresh || isOutageRecent);
 }
 
 Duration WatchGroup::takeOverDelay() const
 {
-    const double part
+    const double fraction
         = static_cast<double>(m_rank) / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-    return fromSeconds(part * toSeconds(m_options.takeOverSpread));
+    return fromSeconds(fraction * toSeconds(m_options.takeOverSpread));
 }
 
 } // namespace robinrun
--- a/src/Mesh/WatchGroup.h
+++ b/src/Mesh/WatchGroup.h
@@ -15,9 +15,9 @@
 
 /// \brief What a node has learnt of the store by a read, and when: that there was nothing newer, or that it
 /// failed.
-struct Confirmation {
-    std::uint64_t by = 0; ///< rank of the node that read so
-    Instant at {};
+struct StoreObservation {
+    std::uint64_t readerRank = 0; ///< rank of the node that read so
+    Instant observedAt {};
 };
 
 /// \brief The few nodes that keep watch at the store for all, whatever the number of nodes, and how the
@@ -45,14 +45,14 @@
 public:
     struct Options {
         /// All lost at once is rarer than once in 10,000 losses of half of the nodes (0.55^16).
-        std::size_t size = 16;
+        std::size_t maxMembers = 16;
         /// A configuration confirmed longer ago is read again. With `takeOverSpread` and a read of some ms no
         /// node that reaches the store goes by one that was overtaken 2.5 s ago.
-        Duration oldest = 2s;
+        Duration maxConfirmationAge = 2s;
         /// A member tries a store that is away each 2 s (a timeout of 1 s and a pause), and what it tells
         /// takes a second and a half to reach all. After an outage a change has to be in force once the store
         /// was well for 3 s.
-        Duration oldestOutage = 3500ms;
+        Duration maxOutageAge = 3500ms;
         /// Nodes that miss the members at the same moment begin to read over so long, so that the first of
         /// them are heard before most have begun.
         Duration takeOverSpread = 300ms;
@@ -67,64 +67,66 @@
     bool isMember() const { return m_isMember; }
 
     /// \returns the addresses of the members but this node.
-    const std::vector<std::string>& others() const { return m_others; }
+    const std::vector<std::string>& otherMembers() const { return m_otherMembers; }
 
     /// \returns how many nodes share the watch: all, where there are few.
-    std::size_t members() const { return m_others.size() + (m_isMember ? 1 : 0); }
+    std::size_t memberCount() const { return m_otherMembers.size() + (m_isMember ? 1 : 0); }
 
     /// \brief This node has \a version in force now.
-    void adopted(std::uint64_t version);
+    void onAdopted(std::uint64_t version);
 
     /// \brief A contact tells that the store had nothing newer than \a version at a time. Counts as soon as
     /// this node has that version. \returns whether what is known is fresher by it.
-    bool heard(std::uint64_t version, const Confirmation& confirmation);
+    bool onPeerConfirmation(std::uint64_t version, const StoreObservation& confirmation);
 
     /// \brief This node has read the store, which had nothing newer at \a at.
-    void read(Instant at);
+    void onRead(Instant at);
 
     /// \brief A contact tells of a read that has failed. Counts only of a member.
-    void heardOutage(const Confirmation& outage);
+    void onOutage(const StoreObservation& outage);
 
     /// \brief A read by this node has failed at \a at.
-    void readFailed(Instant at);
+    void onReadFailed(Instant at);
 
     /// \brief No contact is in reach any more: what they said will not be renewed.
-    void loseContacts()
+    void onContactsLost()
     {
-        m_heard.reset();
+        m_peerConfirmation.reset();
         m_outage.reset();
     }
 
     /// \returns the freshest confirmation of what this node has, to be passed on; nothing if there is none.
-    std::optional<Confirmation> confirmation() const;
+    std::optional<StoreObservation> confirmation() const;
 
     /// \returns the last failed read by a member that is known, to be passed on; nothing if there is none.
-    const std::optional<Confirmation>& outage() const { return m_outage; }
+    const std::optional<StoreObservation>& outage() const { return m_outage; }
 
     /// \returns how long ago what this node has was confirmed.
-    std::optional<Duration> age(Instant now) const;
+    std::optional<Duration> confirmationAge(Instant now) const;
 
     /// \returns whether this node may leave the store to others.
-    bool isWatched(Instant now) const;
+    bool mayStandBy(Instant now) const;
 
     /// \returns how long this node waits before it reads the store once it is not watched any more.
     Duration takeOverDelay() const;
 
 private:
     /// \returns whether it is fresher than what was heard before.
-    bool takeHeard(const Confirmation& confirmation);
+    bool updatePeerConfirmation(const StoreObservation& confirmation);
 
     Options m_options;
     std::string m_self;
     std::uint64_t m_rank;
     bool m_isMember = true;
-    std::vector<std::string> m_others;
+    std::vector<std::string> m_otherMembers;
     std::set<std::uint64_t> m_memberRanks;
     std::uint64_t m_version = 0;
-    std::optional<Confirmation> m_heard; ///< from contacts, by a node that goes before this one
-    std::optional<Confirmation> m_read; ///< by this node
-    std::optional<Confirmation> m_outage; ///< by a member
-    std::map<std::uint64_t, Confirmation> m_ahead; ///< of versions that this node does not have yet
+    std::optional<StoreObservation>
+        m_peerConfirmation; ///< from contacts, by a node that goes before this one
+    std::optional<StoreObservation> m_ownConfirmation; ///< by this node
+    std::optional<StoreObservation> m_outage; ///< by a member
+    std::map<std::uint64_t, StoreObservation>
+        m_futureConfirmations; ///< of versions that this node does not have yet
 };
 
 } // namespace robinrun
--- a/test/BackendLifeTest.cpp
+++ b/test/BackendLifeTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-Announcement announcement(const BackendLife& life, std::uint64_t sequence, AnnouncedState state)
+Announcement makeAnnouncement(const BackendLife& life, std::uint64_t sequence, AnnouncedState state)
 {
     Announcement out;
     out.life = life;
@@ -27,27 +27,27 @@
 
 /// \brief All that one life of a server says, in order: ready, then perhaps that it drains, then perhaps that
 /// it is gone.
-std::vector<Announcement> wordsOf(const BackendLife& life)
+std::vector<Announcement> makeAnnouncements(const BackendLife& life)
 {
     std::vector<Announcement> out;
     const auto ready = *rc::gen::inRange<std::uint64_t>(1, 6);
     for (std::uint64_t i = 1; i <= ready; ++i)
-        out.push_back(announcement(life, i, AnnouncedState::Ready));
+        out.push_back(makeAnnouncement(life, i, AnnouncedState::Ready));
     const auto draining = *rc::gen::inRange<std::uint64_t>(0, 3);
     for (std::uint64_t i = 1; i <= draining; ++i)
-        out.push_back(announcement(life, ready + i, AnnouncedState::Draining));
+        out.push_back(makeAnnouncement(life, ready + i, AnnouncedState::Draining));
     if (*rc::gen::arbitrary<bool>())
-        out.push_back(announcement(life, 0, AnnouncedState::Gone));
+        out.push_back(makeAnnouncement(life, 0, AnnouncedState::Gone));
     return out;
 }
 
-/// \brief What is heard of \a said: some of it lost, some twice, in any order.
-template <class T> std::vector<T> heardOf(const std::vector<T>& said)
+/// \brief What is heard of \a sent: some of it lost, some twice, in any order.
+template <class T> std::vector<T> deliverInRandomOrder(const std::vector<T>& sent)
 {
     std::vector<T> out;
-    for (const auto& it : said) {
-        const auto times = *rc::gen::inRange(0, 3);
-        out.insert(out.end(), static_cast<std::size_t>(times), it);
+    for (const auto& it : sent) {
+        const auto copyCount = *rc::gen::inRange(0, 3);
+        out.insert(out.end(), static_cast<std::size_t>(copyCount), it);
     }
     for (std::size_t i = out.size(); i > 1; --i)
         std::swap(out[i - 1], out[*rc::gen::inRange<std::size_t>(0, i)]);
@@ -55,17 +55,17 @@
 }
 
 /// \returns the latest life of which anything was heard, stated apart from the code under test.
-std::uint64_t latestBorn(const std::vector<Announcement>& heard)
+std::uint64_t latestStart(const std::vector<Announcement>& delivered)
 {
     std::uint64_t out = 0;
-    for (const auto& it : heard)
+    for (const auto& it : delivered)
         out = std::max(out, it.life.born());
     return out;
 }
 
 } // namespace
 
-TEST_CASE("A life's name is read back, and text that names no start is an id", "[life]")
+TEST_CASE("The key of a life can be parsed again, and text without a start time is an id", "[life]")
 {
     rc::prop("key", [](std::uint64_t born) {
         const BackendLife life("i-7f3a", born);
@@ -78,7 +78,8 @@
     REQUIRE(BackendLife::fromKey("a#1#2") == BackendLife("a#1", 2));
 }
 
-TEST_CASE("Lives are ordered by their starts; one without is before those of its id", "[life]")
+TEST_CASE(
+    "Lives are ordered by their start times, and one without a start time precedes those of its id", "[life]")
 {
     const BackendLife first("a", 1);
     const BackendLife second("a", 2);
@@ -96,27 +97,27 @@
     REQUIRE_FALSE(BackendLife("a").isMeantBy(first));
 }
 
-TEST_CASE("Of all that was heard, the latest life holds, and it leaves if it ever said so", "[life]")
+TEST_CASE("The latest announced life is current, and it leaves if it ever announced so", "[life]")
 {
     rc::prop("order, loss and repeats", [] {
-        std::vector<Announcement> said;
+        std::vector<Announcement> sent;
         const auto lives = *rc::gen::inRange<std::uint64_t>(1, 5);
         for (std::uint64_t i = 1; i <= lives; ++i) {
             // Some lives go by the id of the one before.
             const BackendLife life(*rc::gen::arbitrary<bool>() ? "same" : "i-" + std::to_string(i), i);
-            const auto words = wordsOf(life);
-            said.insert(said.end(), words.begin(), words.end());
+            const auto announcements = makeAnnouncements(life);
+            sent.insert(sent.end(), announcements.begin(), announcements.end());
         }
-        const auto heard = heardOf(said);
+        const auto delivered = deliverInRandomOrder(sent);
         AnnouncedUpstream upstream;
-        for (const auto& it : heard)
-            upstream.take(it);
-        const auto latest = latestBorn(heard);
-        const auto isWordOfLatest = [&](const auto& it) { return it.life.born() == latest; };
-        const bool hasLeft = std::any_of(heard.begin(), heard.end(),
-            [&](const auto& it) { return isWordOfLatest(it) && it.state != AnnouncedState::Ready; });
-        const bool wasReady = std::any_of(heard.begin(), heard.end(),
-            [&](const auto& it) { return isWordOfLatest(it) && it.state == AnnouncedState::Ready; });
+        for (const auto& it : delivered)
+            upstream.applyAnnouncement(it);
+        const auto latest = latestStart(delivered);
+        const auto isOfLatestLife = [&](const auto& it) { return it.life.born() == latest; };
+        const bool hasLeft = std::any_of(delivered.begin(), delivered.end(),
+            [&](const auto& it) { return isOfLatestLife(it) && it.state != AnnouncedState::Ready; });
+        const bool wasReady = std::any_of(delivered.begin(), delivered.end(),
+            [&](const auto& it) { return isOfLatestLife(it) && it.state == AnnouncedState::Ready; });
         // Of a life that was heard to leave, nothing is known to be usable; any other is the latest one.
         if (wasReady && !hasLeft) {
             RC_ASSERT(upstream.current().has_value());
@@ -131,40 +132,44 @@
     });
 }
 
-TEST_CASE("A last word of an earlier life changes nothing, also seconds after the next one came", "[life]")
+TEST_CASE("A late final announcement of an earlier life has no effect", "[life]")
 {
     AnnouncedUpstream upstream;
-    REQUIRE(upstream.take(announcement(BackendLife("a", 1), 900, AnnouncedState::Ready)));
-    REQUIRE(upstream.take(announcement(BackendLife("a", 2), 1, AnnouncedState::Ready)));
-    REQUIRE_FALSE(upstream.take(announcement(BackendLife("a", 1), 0, AnnouncedState::Gone)));
-    REQUIRE_FALSE(upstream.take(announcement(BackendLife("a", 1), 901, AnnouncedState::Draining)));
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement(BackendLife("a", 1), 900, AnnouncedState::Ready)));
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement(BackendLife("a", 2), 1, AnnouncedState::Ready)));
+    REQUIRE_FALSE(upstream.applyAnnouncement(makeAnnouncement(BackendLife("a", 1), 0, AnnouncedState::Gone)));
+    REQUIRE_FALSE(
+        upstream.applyAnnouncement(makeAnnouncement(BackendLife("a", 1), 901, AnnouncedState::Draining)));
     REQUIRE_FALSE(upstream.isLeaving());
     // A writer that names no start, where the server does, is another one.
-    REQUIRE_FALSE(upstream.take(announcement(BackendLife("a"), 999, AnnouncedState::Draining)));
-    REQUIRE_FALSE(upstream.take(announcement(BackendLife("b"), 999, AnnouncedState::Ready)));
+    REQUIRE_FALSE(
+        upstream.applyAnnouncement(makeAnnouncement(BackendLife("a"), 999, AnnouncedState::Draining)));
+    REQUIRE_FALSE(upstream.applyAnnouncement(makeAnnouncement(BackendLife("b"), 999, AnnouncedState::Ready)));
     REQUIRE(upstream.current()->life == BackendLife("a", 2));
     REQUIRE_FALSE(upstream.isLeaving());
 }
 
-TEST_CASE("A server whose id was found by its health keeps its place once it says its start", "[life]")
+TEST_CASE(
+    "A server whose id is known from its health answer keeps its state once it announces its start time",
+    "[life]")
 {
     AnnouncedUpstream upstream;
-    REQUIRE(upstream.found(announcement(BackendLife("a"), 0, AnnouncedState::Ready)));
-    REQUIRE(upstream.take(announcement(BackendLife("a", 7), 3, AnnouncedState::Ready)));
+    REQUIRE(upstream.applyHealthAnswer(makeAnnouncement(BackendLife("a"), 0, AnnouncedState::Ready)));
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement(BackendLife("a", 7), 3, AnnouncedState::Ready)));
     REQUIRE(upstream.current()->life == BackendLife("a", 7));
     AnnouncedUpstream second;
-    REQUIRE(second.found(announcement(BackendLife("a"), 0, AnnouncedState::Ready)));
-    REQUIRE(second.hasLeftBefore(BackendLife("a", 7)));
-    REQUIRE_FALSE(second.take(announcement(BackendLife("a", 7), 9, AnnouncedState::Ready)));
+    REQUIRE(second.applyHealthAnswer(makeAnnouncement(BackendLife("a"), 0, AnnouncedState::Ready)));
+    REQUIRE(second.markLeaving(BackendLife("a", 7)));
+    REQUIRE_FALSE(second.applyAnnouncement(makeAnnouncement(BackendLife("a", 7), 9, AnnouncedState::Ready)));
     REQUIRE(second.isLeaving());
-    REQUIRE(second.take(announcement(BackendLife("a", 8), 1, AnnouncedState::Ready)));
+    REQUIRE(second.applyAnnouncement(makeAnnouncement(BackendLife("a", 8), 1, AnnouncedState::Ready)));
     REQUIRE_FALSE(second.isLeaving());
 }
 
-TEST_CASE("Nodes that heard the same records in any order name the same latest lives", "[life]")
+TEST_CASE("Nodes that received the same records in any order list the same latest lives", "[life]")
 {
     rc::prop("nodes, lives, losses and repeats", [] {
-        std::vector<proto::NodeRecord> said;
+        std::vector<proto::NodeRecord> sent;
         const auto nodes = *rc::gen::inRange(1, 4);
         for (int node = 0; node < nodes; ++node) {
             const auto starts = *rc::gen::inRange<std::uint64_t>(1, 5);
@@ -177,46 +182,46 @@
                 record.set_upstream("u" + std::to_string(*rc::gen::inRange(0, 2)));
                 record.set_born(*rc::gen::inRange<std::uint64_t>(0, 4));
                 record.set_slots(4);
-                said.push_back(record);
+                sent.push_back(record);
             }
         }
-        const auto heard = heardOf(said);
+        const auto delivered = deliverInRandomOrder(sent);
         NodeRegistry registry;
-        for (const auto& it : heard)
-            registry.take(it);
+        for (const auto& it : delivered)
+            registry.mergeRecord(it);
         // Stated apart: each node's last record, and of those that name one id the latest start.
-        std::map<std::string, proto::NodeRecord> last;
-        for (const auto& it : heard) {
-            auto& known = last[it.node()];
-            if (known.node().empty()
+        std::map<std::string, proto::NodeRecord> lastRecords;
+        for (const auto& it : delivered) {
+            auto& lastRecord = lastRecords[it.node()];
+            if (lastRecord.node().empty()
                 || std::pair(it.incarnation(), it.sequence())
-                    > std::pair(known.incarnation(), known.sequence()))
-                known = it;
+                    > std::pair(lastRecord.incarnation(), lastRecord.sequence()))
+                lastRecord = it;
         }
-        std::map<std::string, std::uint64_t> latest;
-        for (const auto& [node, it] : last) {
-            auto& born = latest.try_emplace(it.upstream(), it.born()).first->second;
+        std::map<std::string, std::uint64_t> latestStarts;
+        for (const auto& [node, it] : lastRecords) {
+            auto& born = latestStarts.try_emplace(it.upstream(), it.born()).first->second;
             born = std::max(born, it.born());
         }
-        std::map<std::string, std::uint64_t> named;
+        std::map<std::string, std::uint64_t> listed;
         for (const auto& it : registry.upstreams()) {
             const auto life = BackendLife::fromKey(it.name().substr(std::string("upstreams/").size()));
-            RC_ASSERT(named.emplace(life.id(), life.born()).second);
+            RC_ASSERT(listed.emplace(life.id(), life.born()).second);
         }
-        RC_ASSERT(named == latest);
+        RC_ASSERT(listed == latestStarts);
     });
 }
 
-TEST_CASE("A record that no node can have written names its field", "[life]")
+TEST_CASE("The error for an invalid record names the field", "[life]")
 {
     proto::NodeRecord good;
     good.set_node("n");
     good.set_peer_address("10.0.0.1:7");
-    REQUIRE(faultOf(good).empty());
+    REQUIRE(validationError(good).empty());
     const auto faultWith = [&](auto change) {
         auto it = good;
         change(it);
-        return faultOf(it);
+        return validationError(it);
     };
     REQUIRE(faultWith([](auto& it) { it.set_node(""); }) == "node: is empty");
     REQUIRE(faultWith([](auto& it) { it.set_peer_address("x"); }) == "peer_address: must be ip:port");
--- a/test/EmptiedHallTest.cpp
+++ b/test/EmptiedHallTest.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-std::optional<std::string> hallOf(std::string_view key)
+std::optional<std::string> parseHallKey(std::string_view key)
 {
     return key.starts_with("hall/") ? std::optional(std::string(key.substr(5))) : std::nullopt;
 }
 
-KeyedPage page(std::vector<KeyedRecord> records, StorePosition next, bool isWhole = false)
+KeyedPage makePage(std::vector<KeyedRecord> records, StorePosition next, bool isWhole = false)
 {
     return { std::move(records), next, 0, isWhole };
 }
@@ -22,18 +22,18 @@
 const Instant now { 100s };
 
 /// \brief Two halls with a backend server each, and what of the halls' servers has run.
-struct TwoHalls : MeshFixture {
-    std::size_t near;
-    std::size_t far;
+struct TwoHallFixture : MeshFixture {
+    std::size_t nearNode;
+    std::size_t farNode;
 
-    TwoHalls()
+    TwoHallFixture()
     {
         store.put("keyed.op", "config", configuration(1));
-        near = add("shop", "h1");
-        far = add("shop", "h2");
-        untilServed(near);
-        untilServed(far);
-        until([&] { return servedBy(far, far); });
+        nearNode = add("shop", "h1");
+        farNode = add("shop", "h2");
+        untilServed(nearNode);
+        untilServed(farNode);
+        until([&] { return servedBy(farNode, farNode); });
     }
 
     /// \returns whether a call to node \a i is served by the server beside node \a server.
@@ -48,7 +48,7 @@
         return text.find(line + "\n") != std::string::npos;
     }
 
-    void untilEmptied(std::size_t i, int halls)
+    void waitUntilEmptiedHalls(std::size_t i, int halls)
     {
         const auto line = "robinrun_halls_emptied " + std::to_string(halls);
         until([&] {
@@ -60,106 +60,110 @@
 
 } // namespace
 
-TEST_CASE("The newest record of a hall counts, whichever way and in whichever order it comes", "[halls]")
+TEST_CASE("The newest record of a hall is valid, by any path and in any order", "[halls]")
 {
     EmptiedHalls read;
-    REQUIRE(read.take(page({ { "config", "x", { 1, 4 } }, { "hall/a", "{}", { 1, 5 } } }, { 1, 6 }), hallOf));
+    REQUIRE(read.applyPage(
+        makePage({ { "config", "x", { 1, 4 } }, { "hall/a", "{}", { 1, 5 } } }, { 1, 6 }), parseHallKey));
     REQUIRE(read.isEmptied("a"));
-    proto::NodeContact early;
-    read.tell(early);
-    REQUIRE(read.take(page({ { "hall/a", "", { 1, 6 } } }, { 1, 7 }), hallOf));
-    REQUIRE_FALSE(read.heard(early));
+    proto::NodeContact earlyContact;
+    read.addToContact(earlyContact);
+    REQUIRE(read.applyPage(makePage({ { "hall/a", "", { 1, 6 } } }, { 1, 7 }), parseHallKey));
+    REQUIRE_FALSE(read.applyContact(earlyContact));
     REQUIRE_FALSE(read.isEmptied("a"));
     EmptiedHalls other;
-    proto::NodeContact late;
-    read.tell(late);
-    REQUIRE_FALSE(other.heard(late));
-    REQUIRE_FALSE(other.heard(early));
+    proto::NodeContact lateContact;
+    read.addToContact(lateContact);
+    REQUIRE_FALSE(other.applyContact(lateContact));
+    REQUIRE_FALSE(other.applyContact(earlyContact));
     REQUIRE_FALSE(other.isEmptied("a"));
 }
 
-TEST_CASE("A whole read without a hall takes it back, a part of the log does not", "[halls]")
+TEST_CASE("A full read without a hall's record ends its emptied state, a partial read does not", "[halls]")
 {
     EmptiedHalls halls;
-    halls.take(page({ { "hall/a", "{}", { 1, 5 } } }, { 1, 6 }), hallOf);
-    halls.take(page({ { "config", "x", { 1, 6 } } }, { 1, 7 }), hallOf);
+    halls.applyPage(makePage({ { "hall/a", "{}", { 1, 5 } } }, { 1, 6 }), parseHallKey);
+    halls.applyPage(makePage({ { "config", "x", { 1, 6 } } }, { 1, 7 }), parseHallKey);
     REQUIRE(halls.isEmptied("a"));
-    REQUIRE(halls.take(page({ { "config", "x", { 1, 6 } } }, { 1, 7 }, true), hallOf));
+    REQUIRE(halls.applyPage(makePage({ { "config", "x", { 1, 6 } } }, { 1, 7 }, true), parseHallKey));
     REQUIRE_FALSE(halls.isEmptied("a"));
 }
 
 TEST_CASE(
-    "After the store is back from an older copy a hall stays emptied until it is written of again", "[halls]")
+    "After a restore from an older copy a hall stays emptied until its record is written again", "[halls]")
 {
     EmptiedHalls halls;
-    halls.take(page({ { "hall/a", "{}", { 1, 5 } }, { "hall/b", "{}", { 1, 6 } } }, { 1, 7 }), hallOf);
-    halls.tick(1, now);
-    halls.take(page({ { "config", "x", { 2, 1 } } }, { 2, 2 }, true), hallOf);
+    halls.applyPage(
+        makePage({ { "hall/a", "{}", { 1, 5 } }, { "hall/b", "{}", { 1, 6 } } }, { 1, 7 }), parseHallKey);
+    halls.expireFormerEras(1, now);
+    halls.applyPage(makePage({ { "config", "x", { 2, 1 } } }, { 2, 2 }, true), parseHallKey);
     REQUIRE(halls.isEmptied("a"));
-    halls.tick(2, now);
-    REQUIRE(halls.take(page({ { "hall/a", "", { 2, 2 } } }, { 2, 3 }), hallOf));
+    halls.expireFormerEras(2, now);
+    REQUIRE(halls.applyPage(makePage({ { "hall/a", "", { 2, 2 } } }, { 2, 3 }), parseHallKey));
     REQUIRE_FALSE(halls.isEmptied("a"));
     REQUIRE(halls.isEmptied("b"));
-    REQUIRE_FALSE(halls.tick(2, now + 29s));
-    REQUIRE(halls.tick(2, now + 30s));
+    REQUIRE_FALSE(halls.expireFormerEras(2, now + 29s));
+    REQUIRE(halls.expireFormerEras(2, now + 30s));
     REQUIRE_FALSE(halls.isEmptied("b"));
 }
 
-TEST_CASE("Names of other writers are bounded, and emptied halls are kept first", "[halls]")
+TEST_CASE("The number and the names of halls are bounded, and emptied halls are kept first", "[halls]")
 {
     EmptiedHalls halls;
-    halls.take(page({ { "hall/a", "{}", { 1, 1 } } }, { 1, 2 }), hallOf);
-    halls.take(page({ { "hall/" + std::string(300, 'x'), "{}", { 1, 2 } } }, { 1, 3 }), hallOf);
-    REQUIRE(halls.emptied() == std::set<std::string> { "a" });
+    halls.applyPage(makePage({ { "hall/a", "{}", { 1, 1 } } }, { 1, 2 }), parseHallKey);
+    halls.applyPage(
+        makePage({ { "hall/" + std::string(300, 'x'), "{}", { 1, 2 } } }, { 1, 3 }), parseHallKey);
+    REQUIRE(halls.emptiedHalls() == std::set<std::string> { "a" });
     for (std::uint64_t i = 0; i < 1000; ++i)
-        halls.take(page({ { "hall/n" + std::to_string(i), "", { 1, 3 + i } } }, { 1, 4 + i }), hallOf);
+        halls.applyPage(
+            makePage({ { "hall/n" + std::to_string(i), "", { 1, 3 + i } } }, { 1, 4 + i }), parseHallKey);
     REQUIRE(halls.isEmptied("a"));
     proto::NodeContact contact;
-    halls.tell(contact);
+    halls.addToContact(contact);
     REQUIRE(contact.halls_size() <= 256);
 }
 
 // Seen on a day with an emptied hall: 6,959 requests reached servers there, as nothing read the operator's
 // wish.
-TEST_CASE("Nothing more reaches the servers of an emptied hall, and callers there are served elsewhere",
+TEST_CASE("No call reaches the servers of an emptied hall, and callers there are served by another hall",
     "[halls][mesh]")
 {
-    TwoHalls f;
+    TwoHallFixture f;
     f.store.put("keyed.op", "evacuate/h2", "{}");
-    f.untilEmptied(f.near, 1);
-    f.untilEmptied(f.far, 1);
-    f.places[f.far].backend->requests.clear();
+    f.waitUntilEmptiedHalls(f.nearNode, 1);
+    f.waitUntilEmptiedHalls(f.farNode, 1);
+    f.places[f.farNode].backend->requests.clear();
     for (int i = 0; i < 10; ++i) {
-        REQUIRE(f.servedBy(f.far, f.near));
-        REQUIRE(f.call(f.far, "POST", "/buy/x").status == 200);
-        REQUIRE(f.call(f.near, "GET", "/read/x").status == 200);
+        REQUIRE(f.servedBy(f.farNode, f.nearNode));
+        REQUIRE(f.call(f.farNode, "POST", "/buy/x").status == 200);
+        REQUIRE(f.call(f.nearNode, "GET", "/read/x").status == 200);
     }
-    REQUIRE(f.places[f.far].backend->requests.empty());
+    REQUIRE(f.places[f.farNode].backend->requests.empty());
     // A node that starts meanwhile knows it before it takes its first call.
-    f.places[f.far].node.reset();
-    f.startNode(f.far);
-    f.untilServed(f.far);
-    REQUIRE(f.servedBy(f.far, f.near));
-    REQUIRE(f.places[f.far].backend->requests.empty());
+    f.places[f.farNode].node.reset();
+    f.startNode(f.farNode);
+    f.untilServed(f.farNode);
+    REQUIRE(f.servedBy(f.farNode, f.nearNode));
+    REQUIRE(f.places[f.farNode].backend->requests.empty());
     f.store.put("keyed.op", "evacuate/h2", "");
-    f.untilEmptied(f.far, 0);
-    f.until([&] { return f.servedBy(f.far, f.far); });
+    f.waitUntilEmptiedHalls(f.farNode, 0);
+    f.until([&] { return f.servedBy(f.farNode, f.farNode); });
 }
 
-TEST_CASE("A node that doesn't read the store hears of an emptied hall from its contacts", "[halls][mesh]")
+TEST_CASE("A node that cannot read the store learns of an emptied hall from its contacts", "[halls][mesh]")
 {
-    TwoHalls f;
+    TwoHallFixture f;
     const auto third = f.add("shop", "h1");
     f.untilServed(third);
     f.store.put("keyed.op", "evacuate/h2", "{}");
-    for (const auto i : { f.near, f.far, third })
-        f.untilEmptied(i, 1);
+    for (const auto i : { f.nearNode, f.farNode, third })
+        f.waitUntilEmptiedHalls(i, 1);
     // The store is away, and the record isn't there to be read.
     f.store.mode = support::FakeStore::Mode::Refusing;
     const auto fourth = f.add("shop", "h1");
-    f.untilEmptied(f.far, 1);
+    f.waitUntilEmptiedHalls(f.farNode, 1);
     f.store.mode = support::FakeStore::Mode::Up;
-    f.untilEmptied(fourth, 1);
+    f.waitUntilEmptiedHalls(fourth, 1);
 }
 
 namespace {
@@ -179,8 +183,8 @@
 
 // Seen in a trial: nodes that started beside warm servers, which say nothing of it, held them for cold until
 // the longest warm-up was over, and asked them 20 times a second meanwhile.
-TEST_CASE(
-    "A node that starts beside a warm server is in doubt only until its first answer", "[warm-up][mesh]")
+TEST_CASE("A node that starts beside a warm server treats it as cold only until its first answer",
+    "[warm-up][mesh]")
 {
     MeshFixture f;
     f.store.put("keyed.op", "config", pacedConfiguration());
@@ -198,7 +202,7 @@
 
 // Seen after power was back: a cold server got 36 calls in a second where 32 are allowed, fell over and
 // started again, cold.
-TEST_CASE("A cold server gets its calls at a pace, from the first one on", "[warm-up][mesh]")
+TEST_CASE("The rate of calls to a cold server is limited from the first call on", "[warm-up][mesh]")
 {
     MeshFixture f;
     f.store.put("keyed.op", "config", pacedConfiguration());
@@ -209,9 +213,9 @@
     f.places[i].node.reset();
     f.startNode(i);
     f.untilServed(i);
-    std::vector<std::chrono::steady_clock::time_point> began;
+    std::vector<std::chrono::steady_clock::time_point> callStarts;
     f.places[i].backend->instead = [&](const HttpRequest&) -> std::optional<HttpReply> {
-        began.push_back(std::chrono::steady_clock::now());
+        callStarts.push_back(std::chrono::steady_clock::now());
         return std::nullopt;
     };
     std::vector<int> statuses;
@@ -225,14 +229,14 @@
         pool.send(f.request("GET", "/read/x"), 9s,
             [&](const auto& result) { statuses.push_back(result.has_value() ? result.value().status : 0); });
     f.until([&] { return statuses.size() == calls; });
-    std::size_t most = 0;
-    for (std::size_t first = 0, last = 0; last < began.size(); ++last) {
-        while (began[last] - began[first] >= 1s)
+    std::size_t maxCallsPerSecond = 0;
+    for (std::size_t first = 0, last = 0; last < callStarts.size(); ++last) {
+        while (callStarts[last] - callStarts[first] >= 1s)
             ++first;
-        most = std::max(most, last - first + 1);
+        maxCallsPerSecond = std::max(maxCallsPerSecond, last - first + 1);
     }
-    REQUIRE(most <= 32);
-    REQUIRE(began.size() >= 60);
-    const auto isHonest = [](int status) { return status == 200 || status == 503; };
-    REQUIRE(std::all_of(statuses.begin(), statuses.end(), isHonest));
+    REQUIRE(maxCallsPerSecond <= 32);
+    REQUIRE(callStarts.size() >= 60);
+    const auto isExpectedStatus = [](int status) { return status == 200 || status == 503; };
+    REQUIRE(std::all_of(statuses.begin(), statuses.end(), isExpectedStatus));
 }
--- a/test/PlatformTest.cpp
+++ b/test/PlatformTest.cpp
@@ -39,7 +39,7 @@
     REQUIRE(route.once() == proto::SINGLE_DISPATCH);
     REQUIRE(route.split(0).service() == "shop");
     REQUIRE(route.target_latency_ms() == 5000);
-    REQUIRE(it.limits.maxHeaders == 16384);
+    REQUIRE(it.limits.maxHeaderBytes == 16384);
     REQUIRE(it.limits.idleTimeout == 15s);
 }
 
@@ -78,16 +78,16 @@
     const auto odd = platform::readConfiguration(head
         + R"({"host":"h","path_prefix":"/a/","kind":"odd","timeout_ms":9,"target_latency_ms":5,"service":"s"}})"
         + good);
-    REQUIRE(odd.value().faults.size() == 1);
-    REQUIRE(odd.value().faults[0].place == "resources[0].spec.kind");
-    REQUIRE(odd.value().faults[0].message == "'odd' is not known");
+    REQUIRE(odd.value().errors.size() == 1);
+    REQUIRE(odd.value().errors[0].location == "resources[0].spec.kind");
+    REQUIRE(odd.value().errors[0].message == "'odd' is not known");
     REQUIRE(odd.value().resources.size() == 2);
     REQUIRE(odd.value().resources[0].route().withheld());
     REQUIRE_FALSE(odd.value().resources[1].route().withheld());
     REQUIRE(odd.value().resources[1].route().once() == proto::REPEATABLE);
     const auto nowhere = platform::readConfiguration(head + R"({"host":5}})" + good);
-    REQUIRE(nowhere.value().faults.at(0).place == "resources[0].spec.host");
-    REQUIRE(nowhere.value().faults.at(0).message == "must be a text");
+    REQUIRE(nowhere.value().errors.at(0).location == "resources[0].spec.host");
+    REQUIRE(nowhere.value().errors.at(0).message == "must be a text");
     REQUIRE(nowhere.value().resources.size() == 1);
 }
 
@@ -102,7 +102,7 @@
             .value();
     };
     const auto read = tenants(R"({"api_keys":["k1"]})");
-    REQUIRE(read.faults.empty());
+    REQUIRE(read.errors.empty());
     const auto& b = read.resources.at(1).group();
     REQUIRE(read.resources[1].name() == "groups/b");
     REQUIRE(b.credential_sha256() == sha256Hex("k2"));
@@ -116,14 +116,14 @@
              R"({"api_keys":["k1",""]})", R"({"api_keys":["k1"],"priority":-2})" }) {
         const auto bad = tenants(it);
         CAPTURE(it);
-        REQUIRE(bad.faults.size() == 1);
-        REQUIRE(bad.faults[0].place.starts_with("resources[0].spec."));
+        REQUIRE(bad.errors.size() == 1);
+        REQUIRE(bad.errors[0].location.starts_with("resources[0].spec."));
         REQUIRE(bad.resources.at(0).group().withheld());
         REQUIRE_FALSE(bad.resources.at(1).group().withheld());
     }
     const auto shared = tenants(R"({"api_keys":["k3"]})");
-    REQUIRE(shared.faults.size() == 1);
-    REQUIRE(shared.faults[0].message.find("too: it counts for neither") != std::string::npos);
+    REQUIRE(shared.errors.size() == 1);
+    REQUIRE(shared.errors[0].message.find("too: it counts for neither") != std::string::npos);
 }
 
 TEST_CASE("No text at all breaks the readers", "[platform]")
--- a/test/RegistryTest.cpp
+++ b/test/RegistryTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-proto::NodeRecord record(std::uint64_t incarnation, std::uint64_t sequence, const std::string& upstream)
+proto::NodeRecord makeRecord(std::uint64_t incarnation, std::uint64_t sequence, const std::string& upstream)
 {
     proto::NodeRecord out;
     out.set_node("n");
@@ -22,7 +22,7 @@
     return out;
 }
 
-Announcement announcement(const std::string& upstream, std::uint64_t sequence, AnnouncedState state)
+Announcement makeAnnouncement(const std::string& upstream, std::uint64_t sequence, AnnouncedState state)
 {
     Announcement out;
     out.life = BackendLife(upstream);
@@ -34,104 +34,107 @@
 
 } // namespace
 
-TEST_CASE("Records of a node count by age, in whatever order they come", "[mesh]")
+TEST_CASE("The latest record of a node is valid in any order of arrival", "[mesh]")
 {
     rc::prop("order", [] {
         std::vector<proto::NodeRecord> records;
         for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
             for (std::uint64_t sequence = 1; sequence <= 3; ++sequence)
-                records.push_back(record(
+                records.push_back(makeRecord(
                     incarnation, sequence, "u" + std::to_string(incarnation) + std::to_string(sequence)));
         }
         for (std::size_t i = records.size(); i > 1; --i)
             std::swap(records[i - 1], records[*rc::gen::inRange<std::size_t>(0, i)]);
         NodeRegistry registry;
         for (const auto& it : records)
-            registry.take(it);
+            registry.mergeRecord(it);
         RC_ASSERT(registry.find("n")->upstream() == "u33");
     });
 }
 
-TEST_CASE("Only what routing needs counts as a change; gone nodes have no upstream", "[mesh]")
+TEST_CASE(
+    "Only data that routing needs counts as a change, and nodes that are gone have no upstream", "[mesh]")
 {
     NodeRegistry registry;
-    REQUIRE(registry.take(record(1, 1, "u")) == NodeRegistry::Change::Changed);
-    REQUIRE(registry.take(record(1, 2, "u")) == NodeRegistry::Change::Refreshed);
-    REQUIRE(registry.take(record(1, 2, "u")) == NodeRegistry::Change::None);
-    REQUIRE(registry.take(record(1, 1, "older")) == NodeRegistry::Change::None);
+    REQUIRE(registry.mergeRecord(makeRecord(1, 1, "u")) == NodeRegistry::Change::Changed);
+    REQUIRE(registry.mergeRecord(makeRecord(1, 2, "u")) == NodeRegistry::Change::Refreshed);
+    REQUIRE(registry.mergeRecord(makeRecord(1, 2, "u")) == NodeRegistry::Change::None);
+    REQUIRE(registry.mergeRecord(makeRecord(1, 1, "older")) == NodeRegistry::Change::None);
     REQUIRE(registry.upstreams().size() == 1);
-    auto gone = record(1, 3, "u");
+    auto gone = makeRecord(1, 3, "u");
     gone.set_gone(true);
-    REQUIRE(registry.take(gone) == NodeRegistry::Change::Changed);
+    REQUIRE(registry.mergeRecord(gone) == NodeRegistry::Change::Changed);
     REQUIRE(registry.upstreams().empty());
 }
 
-TEST_CASE("Contacts are bounded, and most pairs see each other", "[mesh]")
+TEST_CASE("The number of contacts is bounded, and each node is a contact of some other node", "[mesh]")
 {
     constexpr std::size_t nodes = 200;
     constexpr std::size_t contacts = 16;
     NodeRegistry registry;
     for (std::size_t i = 0; i < nodes; ++i) {
-        auto it = record(1, 1, "u" + std::to_string(i));
+        auto it = makeRecord(1, 1, "u" + std::to_string(i));
         it.set_node("n" + std::to_string(i));
-        registry.take(it);
+        registry.mergeRecord(it);
     }
-    std::vector<std::size_t> named(nodes, 0);
+    std::vector<std::size_t> timesChosen(nodes, 0);
     for (std::size_t i = 0; i < nodes; ++i) {
-        const auto of = registry.contactsOf("n" + std::to_string(i), contacts);
-        REQUIRE(of.size() == contacts);
-        for (const auto& it : of)
-            ++named[std::stoul(it.substr(1))];
+        const auto contactNames = registry.contactsOf("n" + std::to_string(i), contacts);
+        REQUIRE(contactNames.size() == contacts);
+        for (const auto& it : contactNames)
+            ++timesChosen[std::stoul(it.substr(1))];
     }
     // Nobody is left out: each is a contact of someone.
-    REQUIRE(*std::min_element(named.begin(), named.end()) > 0);
-    REQUIRE(*std::max_element(named.begin(), named.end()) < 4 * contacts);
+    REQUIRE(*std::min_element(timesChosen.begin(), timesChosen.end()) > 0);
+    REQUIRE(*std::max_element(timesChosen.begin(), timesChosen.end()) < 4 * contacts);
 }
 
-TEST_CASE("A start that has said it leaves does not come back", "[mesh]")
+TEST_CASE("A life that has announced that it leaves does not become ready again", "[mesh]")
 {
     AnnouncedUpstream upstream;
-    REQUIRE(upstream.take(announcement("a", 1, AnnouncedState::Ready)));
-    REQUIRE_FALSE(upstream.take(announcement("a", 1, AnnouncedState::Draining))); // repeated
-    REQUIRE(upstream.take(announcement("a", 3, AnnouncedState::Draining)));
-    REQUIRE_FALSE(upstream.take(announcement("a", 2, AnnouncedState::Ready)));
-    REQUIRE_FALSE(upstream.take(announcement("a", 4, AnnouncedState::Ready)));
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement("a", 1, AnnouncedState::Ready)));
+    REQUIRE_FALSE(upstream.applyAnnouncement(makeAnnouncement("a", 1, AnnouncedState::Draining))); // repeated
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement("a", 3, AnnouncedState::Draining)));
+    REQUIRE_FALSE(upstream.applyAnnouncement(makeAnnouncement("a", 2, AnnouncedState::Ready)));
+    REQUIRE_FALSE(upstream.applyAnnouncement(makeAnnouncement("a", 4, AnnouncedState::Ready)));
     REQUIRE(upstream.isLeaving());
-    REQUIRE(upstream.take(announcement("b", 1, AnnouncedState::Ready))); // a new start
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement("b", 1, AnnouncedState::Ready))); // a new start
     REQUIRE_FALSE(upstream.isLeaving());
-    REQUIRE_FALSE(upstream.take(announcement("a", 9, AnnouncedState::Ready))); // of the former one
+    REQUIRE_FALSE(
+        upstream.applyAnnouncement(makeAnnouncement("a", 9, AnnouncedState::Ready))); // of the former one
     REQUIRE(upstream.current()->life.id() == "b");
-    REQUIRE(upstream.take(announcement("b", 0, AnnouncedState::Gone))); // leaves without draining first
+    REQUIRE(upstream.applyAnnouncement(
+        makeAnnouncement("b", 0, AnnouncedState::Gone))); // leaves without draining first
     REQUIRE(upstream.isLeaving());
 }
 
-TEST_CASE("What the health answer says holds until the first announcement", "[mesh]")
+TEST_CASE("The state in the health answer is valid until the first announcement", "[mesh]")
 {
     AnnouncedUpstream upstream;
-    REQUIRE(upstream.found(announcement("a", 0, AnnouncedState::Draining)));
+    REQUIRE(upstream.applyHealthAnswer(makeAnnouncement("a", 0, AnnouncedState::Draining)));
     REQUIRE(upstream.isLeaving()); // unwell, or leaving: not yet known
-    REQUIRE(upstream.take(announcement("a", 5, AnnouncedState::Ready)));
+    REQUIRE(upstream.applyAnnouncement(makeAnnouncement("a", 5, AnnouncedState::Ready)));
     REQUIRE_FALSE(upstream.isLeaving());
-    REQUIRE_FALSE(upstream.found(announcement("b", 0, AnnouncedState::Ready)));
+    REQUIRE_FALSE(upstream.applyHealthAnswer(makeAnnouncement("b", 0, AnnouncedState::Ready)));
     AnnouncedUpstream second;
-    REQUIRE(second.found(announcement("a", 0, AnnouncedState::Ready)));
-    REQUIRE(second.hasLeftBefore(BackendLife("a"))); // a former life of the node has acknowledged it
-    REQUIRE_FALSE(second.take(announcement("a", 5, AnnouncedState::Ready)));
+    REQUIRE(second.applyHealthAnswer(makeAnnouncement("a", 0, AnnouncedState::Ready)));
+    REQUIRE(second.markLeaving(BackendLife("a"))); // a former life of the node has acknowledged it
+    REQUIRE_FALSE(second.applyAnnouncement(makeAnnouncement("a", 5, AnnouncedState::Ready)));
     REQUIRE(second.isLeaving());
 }
 
-TEST_CASE("Parts of a split get their weights to within one call", "[mesh]")
+TEST_CASE("Parts of a split get calls by their weights to within one call", "[mesh]")
 {
     rc::prop("weights", [] {
         const auto first = *rc::gen::inRange(1, 100);
         const auto second = *rc::gen::inRange(1, 100);
         WeightedTurns turns(*rc::gen::arbitrary<std::uint64_t>());
         const WeightedTurns::Split split { { "a", first }, { "b", second } };
-        int ofFirst = 0;
+        int callsToFirst = 0;
         for (int i = 1; i <= 200; ++i) {
-            ofFirst += turns.next("r", split) == "a";
-            const double due = double(i) * first / (first + second);
-            RC_ASSERT(std::abs(ofFirst - due) <= 1);
+            callsToFirst += turns.next("r", split) == "a";
+            const double expectedCalls = double(i) * first / (first + second);
+            RC_ASSERT(std::abs(callsToFirst - expectedCalls) <= 1);
         }
     });
     WeightedTurns turns(1);
@@ -139,20 +142,20 @@
     REQUIRE(turns.next("r", { { "only", 0 } }) == "only");
 }
 
-TEST_CASE("Parts of a split get their weights too where many nodes see few calls each", "[mesh]")
+TEST_CASE("Parts of a split get calls by their weights if many nodes have few calls each", "[mesh]")
 {
     // 100 nodes with two calls each: started alike, all of them would send both to the larger part.
     const WeightedTurns::Split split { { "a", 3 }, { "b", 1 } };
-    int ofFirst = 0;
+    int callsToFirst = 0;
     for (std::uint64_t node = 0; node < 100; ++node) {
         WeightedTurns turns(node);
         for (int i = 0; i < 2; ++i)
-            ofFirst += turns.next("r", split) == "a";
+            callsToFirst += turns.next("r", split) == "a";
     }
-    REQUIRE(std::abs(ofFirst - 150) <= 20);
+    REQUIRE(std::abs(callsToFirst - 150) <= 20);
 }
 
-TEST_CASE("A configuration is taken over only if it is newer and can be read", "[mesh]")
+TEST_CASE("A configuration is adopted only if it is newer and can be parsed", "[mesh]")
 {
     MeshFormats formats;
     formats.readConfiguration = [](std::string_view text) -> Result<Configuration, std::string> {
@@ -163,12 +166,12 @@
         return out;
     };
     ConfigHolder holder;
-    REQUIRE_FALSE(holder.offer("", "test", formats));
-    REQUIRE_FALSE(holder.hasAny());
-    REQUIRE(holder.offer("9", "test", formats));
-    REQUIRE_FALSE(holder.offer("9", "test", formats));
-    REQUIRE_FALSE(holder.offer("8", "test", formats));
-    REQUIRE(holder.offer("10", "test", formats));
+    REQUIRE_FALSE(holder.adoptIfNewer("", "test", formats));
+    REQUIRE_FALSE(holder.hasConfiguration());
+    REQUIRE(holder.adoptIfNewer("9", "test", formats));
+    REQUIRE_FALSE(holder.adoptIfNewer("9", "test", formats));
+    REQUIRE_FALSE(holder.adoptIfNewer("8", "test", formats));
+    REQUIRE(holder.adoptIfNewer("10", "test", formats));
     REQUIRE(holder.version() == 10);
     REQUIRE(holder.text() == "10");
 }
--- a/test/StaleNodeTest.cpp
+++ b/test/StaleNodeTest.cpp
@@ -1,10 +1,10 @@
 #include "Core/Hash.h"
-#include "Mesh/ConfigCopies.h"
-#include "Mesh/ConfigFetch.h"
 #include "Mesh/ConfigHolder.h"
+#include "Mesh/ConfigPartAssembler.h"
+#include "Mesh/ConfigPartServer.h"
 #include "Mesh/Gossip.h"
 #include "Mesh/NodeRegistry.h"
-#include "Mesh/StoreWatch.h"
+#include "Mesh/StoreReadTiming.h"
 #include "Mesh/TopicFollower.h"
 #include "Wire/DeltaCodec.h"
 #include "support/FaultProxy.h"
@@ -25,17 +25,17 @@
 namespace {
 
 /// \brief One follower of the store behind a link of 10 Mbit/s, with the deployment's timeout.
-struct FarStore {
+struct LimitedLinkFixture {
     static constexpr std::size_t bytesPerSecond = 1250000;
     static constexpr std::size_t nodes = 13;
 
-    void start(std::size_t bound = bytesPerSecond)
+    void start(std::size_t linkBytesPerSecond = bytesPerSecond)
     {
-        proxy.limit(bound);
+        proxy.limit(linkBytesPerSecond);
         TopicFollower::Options options;
         options.topic = "keyed.op";
-        options.wait = [this] { return watch.wait(nodes, random.unit()); };
-        options.mayRest = [this] { return mayRest; };
+        options.drawWait = [this] { return watch.nextWait(nodes, random.unit()); };
+        options.mayStandBy = [this] { return mayStandBy; };
         follower = std::make_unique<TopicFollower>(
             base.get(), client, options,
             [this](const KeyedPage& page) {
@@ -51,20 +51,20 @@
     std::string address = freeAddress();
     FaultProxy proxy { base.get(), address, store.address };
     platform::StoreClient client { base.get(), address, 1s };
-    StoreWatch watch { { 4, 16 } };
+    StoreReadTiming watch { { 4, 16 } };
     Random random { 1 };
-    bool mayRest = false;
+    bool mayStandBy = false;
     std::string value;
     std::unique_ptr<TopicFollower> follower;
 };
 
 } // namespace
 
-TEST_CASE("A follower behind 10 Mbit/s reads a change of a large configuration", "[mesh]")
+TEST_CASE("A follower with a link of 10 Mbit/s reads a change of a large configuration", "[mesh]")
 {
     const auto bytes = GENERATE(600000U, 1200000U, 1800000U, 2400000U);
     INFO(bytes);
-    FarStore f;
+    LimitedLinkFixture f;
     f.store.put("keyed.op", "config", "small");
     f.start();
     REQUIRE(runUntil(f.base.get(), [&] { return f.value == "small"; }));
@@ -76,96 +76,96 @@
     REQUIRE(runUntil(f.base.get(), [&] { return f.value.size() == bytes; }));
 }
 
-TEST_CASE("A node behind 10 Mbit/s that starts reads a large configuration", "[mesh]")
+TEST_CASE("A starting node with a link of 10 Mbit/s reads a large configuration", "[mesh]")
 {
     const auto bytes = GENERATE(600000U, 1200000U, 2400000U);
     INFO(bytes);
-    FarStore f;
+    LimitedLinkFixture f;
     f.store.put("keyed.op", "config", noise(bytes, 1));
     f.start();
     REQUIRE(runUntil(f.base.get(), [&] { return f.value.size() == bytes; }));
 }
 
-TEST_CASE("The same read arrives with the wait that there was before", "[mesh]")
+TEST_CASE("A read of a large configuration succeeds with and without a wait at the store", "[mesh]")
 {
-    FarStore f;
-    f.proxy.limit(FarStore::bytesPerSecond);
+    LimitedLinkFixture f;
+    f.proxy.limit(LimitedLinkFixture::bytesPerSecond);
     f.store.put("keyed.op", "config", noise(2400000, 1));
-    std::optional<bool> isRead;
-    f.client.follow("keyed.op", {}, 10s, [&](const auto& page) { isRead = page.has_value(); });
-    REQUIRE(runUntil(f.base.get(), [&] { return isRead.has_value(); }));
-    REQUIRE(*isRead);
-    isRead.reset();
-    f.client.follow("keyed.op", {}, 0s, [&](const auto& page) { isRead = page.has_value(); });
-    REQUIRE(runUntil(f.base.get(), [&] { return isRead.has_value(); }));
-    REQUIRE(*isRead);
+    std::optional<bool> hasSucceeded;
+    f.client.follow("keyed.op", {}, 10s, [&](const auto& page) { hasSucceeded = page.has_value(); });
+    REQUIRE(runUntil(f.base.get(), [&] { return hasSucceeded.has_value(); }));
+    REQUIRE(*hasSucceeded);
+    hasSucceeded.reset();
+    f.client.follow("keyed.op", {}, 0s, [&](const auto& page) { hasSucceeded = page.has_value(); });
+    REQUIRE(runUntil(f.base.get(), [&] { return hasSucceeded.has_value(); }));
+    REQUIRE(*hasSucceeded);
 }
 
-TEST_CASE("A node that rested while a large configuration changed often takes over", "[mesh]")
+TEST_CASE("A node on standby takes over after a large configuration has changed often", "[mesh]")
 {
-    FarStore f;
+    LimitedLinkFixture f;
     f.store.put("keyed.op", "config", "small");
-    const auto bound = GENERATE(12500000U, 125000000U); // 100 Mbit/s and 1000
-    INFO(bound);
-    f.start(bound);
+    const auto linkBytesPerSecond = GENERATE(12500000U, 125000000U); // 100 Mbit/s and 1000
+    INFO(linkBytesPerSecond);
+    f.start(linkBytesPerSecond);
     REQUIRE(runUntil(f.base.get(), [&] { return f.value == "small"; }));
-    f.mayRest = true;
+    f.mayStandBy = true;
     f.store.put("keyed.op", "config", "second");
-    REQUIRE(runUntil(f.base.get(), [&] { return f.follower->isResting(); }));
-    constexpr std::size_t changes = 30;
-    for (std::size_t i = 0; i < changes; ++i)
+    REQUIRE(runUntil(f.base.get(), [&] { return f.follower->isOnStandby(); }));
+    constexpr std::size_t changeCount = 30;
+    for (std::size_t i = 0; i < changeCount; ++i)
         f.store.put("keyed.op", "config", noise(600000 + i, i));
-    f.mayRest = false;
-    f.follower->wake();
-    const bool has = runUntil(f.base.get(), [&] { return f.value.size() == 600000 + changes - 1; });
+    f.mayStandBy = false;
+    f.follower->resume();
+    const bool isAdopted = runUntil(f.base.get(), [&] { return f.value.size() == 600000 + changeCount - 1; });
     INFO("reads " << f.follower->calls() << ", failed " << f.follower->failures());
-    REQUIRE(has);
+    REQUIRE(isAdopted);
 }
 
-TEST_CASE("A change is not hidden by a late duplicate of the one before", "[mesh]")
+TEST_CASE("A late duplicate of the previous version does not hide a change", "[mesh]")
 {
     MeshFormats formats;
     formats.configurationKey = "config";
-    formats.versionOf = [](std::string_view text) { return std::optional(std::stoull(std::string(text))); };
+    formats.readVersion = [](std::string_view text) { return std::optional(std::stoull(std::string(text))); };
     formats.readConfiguration = [](std::string_view text) -> Result<Configuration, std::string> {
         Configuration out;
         out.version = std::stoull(std::string(text));
         return out;
     };
     ConfigHolder holder;
-    holder.offer("7", "test", formats);
+    holder.adoptIfNewer("7", "test", formats);
     // A write whose answer got lost may be done seconds later (RecordStore::write).
-    holder.offerNewest({ { "config", "8" }, { "config", "9" }, { "config", "8" } }, "store", formats);
+    holder.adoptNewest({ { "config", "8" }, { "config", "9" }, { "config", "8" } }, "store", formats);
     REQUIRE(holder.version() == 9);
 }
 
-TEST_CASE("A copy that was begun is finished while others with other versions ask", "[mesh]")
+TEST_CASE("A transfer that has started is completed while peers with other versions send requests", "[mesh]")
 {
-    ConfigCopies copies;
-    ConfigFetch fetch;
+    ConfigPartServer partServer;
+    ConfigPartAssembler partAssembler;
     std::string text = noise(400000, 1);
     std::uint64_t version = 20;
     for (std::uint64_t i = 1; i < version; ++i)
-        copies.keepFormer({ i, text.substr(0, 40000) + std::to_string(i) });
-    bool isWhole = false;
-    for (int round = 0; round < 200 && !isWhole; ++round) {
-        const auto part = copies.answer(fetch.request(0, ""), version, text);
-        isWhole = fetch.take(*part, 0) == ConfigFetch::Progress::Whole;
+        partServer.addFormerText({ i, text.substr(0, 40000) + std::to_string(i) });
+    bool isComplete = false;
+    for (int round = 0; round < 200 && !isComplete; ++round) {
+        const auto part = partServer.answer(partAssembler.makeRequest(0, ""), version, text);
+        isComplete = partAssembler.addPart(*part, 0) == ConfigPartAssembler::PartResult::Complete;
         // Between two parts a change, and contacts that have various versions.
-        copies.keepFormer({ version, text });
+        partServer.addFormerText({ version, text });
         text += std::to_string(++version);
         for (std::uint64_t own = 2; own < 10; ++own) {
             const auto base = text.substr(0, 40000) + std::to_string(own);
             proto::ConfigPartRequest other;
             other.set_own_version(own);
             other.set_own_digest(hash64(base));
-            copies.answer(other, version, text);
+            partServer.answer(other, version, text);
         }
     }
-    REQUIRE(isWhole);
+    REQUIRE(isComplete);
 }
 
-TEST_CASE("A change of one route costs few bytes where there are tens of thousands", "[mesh]")
+TEST_CASE("A change of one route takes few bytes among tens of thousands of routes", "[mesh]")
 {
     const std::size_t routes = GENERATE(2800U, 8400U, 16800U, 28000U);
     const auto base = MeshFixture::largeConfiguration(6, routes);
@@ -174,7 +174,7 @@
     REQUIRE(bytes < 1000);
 }
 
-TEST_CASE("What a node that starts is told of the others fits on its link", "[mesh]")
+TEST_CASE("The records sent to a starting node fit on its link", "[mesh]")
 {
     constexpr std::size_t nodes = 7200;
     NodeRegistry all;
@@ -189,21 +189,23 @@
         record.set_service("service-" + std::to_string(i % 100));
         record.set_upstream("instance-" + std::to_string(i));
         record.set_address("10.1." + std::to_string(i / 250) + "." + std::to_string(i % 250) + ":8080");
-        all.take(record);
+        all.mergeRecord(record);
     }
     Gossip gossip(all, "machine-0", { 16 }, [](const auto&, auto&, Instant) {});
-    proto::RegistryDigests asked;
+    proto::RegistryDigests emptyDigests;
     for (std::size_t i = 0; i < NodeRegistry::bucketCount; ++i)
-        asked.add_buckets(0);
-    std::size_t most = 0;
-    gossip.answer(asked, [&](proto::PeerMessage& message) { most = std::max(most, message.ByteSizeLong()); });
+        emptyDigests.add_buckets(0);
+    std::size_t maxMessageBytes = 0;
+    gossip.answerDigests(emptyDigests, [&](proto::PeerMessage& message) {
+        maxMessageBytes = std::max(maxMessageBytes, message.ByteSizeLong());
+    });
     // A link of 10 Mbit/s brings so much in the half second after which it ends without a heartbeat.
-    REQUIRE(most < 625000);
+    REQUIRE(maxMessageBytes < 625000);
 }
 
 // A node hears of a version, and of enough followers, from a peer that never gives a part: one of the former
 // build (it doesn't know the message), or one that hangs.
-TEST_CASE("A node that hears of a version which no peer gives reads it in the store", "[mesh]")
+TEST_CASE("A node reads a version from the store if no peer sends it", "[mesh]")
 {
     MeshFixture f;
     f.followers = 1;
@@ -218,9 +220,9 @@
     while (hash64(options.address) > hash64(self));
     options.node = "old";
     options.incarnation = 1;
-    int asked = 0;
+    int requestCount = 0;
     auto peer = std::move(PeerSocket::bind(f.base.get(), options, [&](const auto&, auto& message) {
-        asked += message.has_config_part_request();
+        requestCount += message.has_config_part_request();
     }).value());
     std::uint64_t version = 5;
     const auto tell = Timer::repeating(f.base.get(), 200ms, [&] {
@@ -245,12 +247,12 @@
     f.pass(3s); // reads that are out are over, and it rests
     version = 6;
     f.store.put("keyed.op", "config", MeshFixture::configuration(6));
-    const bool has = runUntil(f.base.get(), [&] {
+    const bool isAdopted = runUntil(f.base.get(), [&] {
         f.pass(50ms);
         return hasMetric("robinrun_config_version 6");
     });
     const auto metrics = f.send(f.places[0].settings.listen.metrics, { "GET", "/metrics", {}, {} }).body;
     const auto at = metrics.find("robinrun_store_calls_total{kind=\"read-configuration\"");
-    INFO("asked the peer " << asked << " times; " << metrics.substr(at, 160));
-    REQUIRE(has);
+    INFO("asked the peer " << requestCount << " times; " << metrics.substr(at, 160));
+    REQUIRE(isAdopted);
 }
--- a/test/StoreEraTest.cpp
+++ b/test/StoreEraTest.cpp
@@ -19,28 +19,28 @@
 const Instant now { 100s };
 
 /// \brief A node's reader of a topic and its writer of one key there, and what the reader has come to know.
-struct Reader {
-    explicit Reader(FakeStore& store, event_base* base, std::string name)
+struct TopicClient {
+    explicit TopicClient(FakeStore& store, event_base* base, std::string name)
         : key(std::move(name))
         , client(base, store.address, 300ms)
         , random(1)
     {
         TopicFollower::Options options;
         options.topic = "keyed.t";
-        options.wait = [] { return Duration(200ms); };
-        options.firstRetry = 1ms;
-        options.longestRetry = [] { return Duration(10ms); };
+        options.drawWait = [] { return Duration(200ms); };
+        options.initialRetryDelay = 1ms;
+        options.maxRetryDelay = [] { return Duration(10ms); };
         follower = std::make_unique<TopicFollower>(
-            base, client, options, [this](const KeyedPage& page) { take(page); }, random);
+            base, client, options, [this](const KeyedPage& page) { applyPage(page); }, random);
         writer = std::make_unique<RecordWriter>(base, client, "keyed.t", key);
         client.onReturn([this] {
-            ++returns;
-            writer->writeAgain(1ms);
+            ++returnCount;
+            writer->rewriteAfter(1ms);
         });
         follower->start();
     }
 
-    void take(const KeyedPage& page)
+    void applyPage(const KeyedPage& page)
     {
         if (page.isWhole)
             known.clear();
@@ -55,14 +55,14 @@
     platform::StoreClient client;
     Random random;
     std::map<std::string, std::string> known;
-    int returns = 0;
+    int returnCount = 0;
     std::unique_ptr<TopicFollower> follower;
     std::unique_ptr<RecordWriter> writer;
 };
 
 } // namespace
 
-TEST_CASE("An era that rises is noticed once, and late answers of a former one say nothing", "[era]")
+TEST_CASE("A higher era is reported once, and late answers of a former era are ignored", "[era]")
 {
     StoreEra era;
     REQUIRE(era.take(std::nullopt, 0, now) == Verdict::Same);
@@ -77,7 +77,7 @@
     REQUIRE(era.faults() == 0);
 }
 
-TEST_CASE("An era that is missing, falls or is no number counts as a change, at a bounded rate", "[era]")
+TEST_CASE("An era that is missing, lower or not a number counts as a change, at a bounded rate", "[era]")
 {
     const auto text = GENERATE(
         as<std::optional<std::string>> {}, std::nullopt, "", "x", "4x", "-1", "2", "99999999999999999999999");
@@ -92,7 +92,7 @@
     REQUIRE(era.faults() > 100);
 }
 
-TEST_CASE("What a peer says of the era counts only if it is later", "[era]")
+TEST_CASE("An era reported by a peer counts only if it is later", "[era]")
 {
     StoreEra era;
     REQUIRE_FALSE(era.heard(0, now));
@@ -104,7 +104,7 @@
 
 // A reader at offset 3 of a store that was back with two records, and then got two more, read from 3 on as if
 // nothing had been, and missed one for good.
-TEST_CASE("A reader misses nothing of a store whose offsets are given out again", "[era]")
+TEST_CASE("A reader misses no record of a restored store that assigns offsets again", "[era]")
 {
     const auto base = makeLoop();
     FakeStore store(base.get());
@@ -113,51 +113,52 @@
     store.put("keyed.t", "a", "1");
     store.put("keyed.t", "b", "1");
     store.keepCopy();
-    Reader reader(store, base.get(), "own");
+    TopicClient topicClient(store, base.get(), "own");
     store.put("keyed.t", "a", "2");
-    REQUIRE(runUntil(base.get(), [&] { return reader.known["a"] == "2"; }));
+    REQUIRE(runUntil(base.get(), [&] { return topicClient.known["a"] == "2"; }));
     store.comeBack();
     store.put("keyed.t", "c", "1");
     store.put("keyed.t", "b", "2");
     const std::map<std::string, std::string> all { { "a", "1" }, { "b", "2" }, { "c", "1" } };
-    REQUIRE(runUntil(base.get(), [&] { return reader.known == all; }));
-    REQUIRE(reader.returns == 1);
+    REQUIRE(runUntil(base.get(), [&] { return topicClient.known == all; }));
+    REQUIRE(topicClient.returnCount == 1);
 }
 
-TEST_CASE("Readers come to what a fresh one reads, and own records are written again", "[era]")
+TEST_CASE("All readers converge to the state of the store, and each node's record is written again", "[era]")
 {
-    rc::prop("over what is written, lost and answered late, and eras in series", [](std::uint64_t seed) {
+    rc::prop("random writes, lost and late answers and restores", [](std::uint64_t seed) {
         Random random(seed);
         const auto base = makeLoop();
         FakeStore store(base.get());
         store.era = 1;
         store.mayWaitBeyondEnd = random.chance(0.5);
         store.keepCopy();
-        std::vector<std::unique_ptr<Reader>> readers;
+        std::vector<std::unique_ptr<TopicClient>> topicClients;
         for (const auto* name : { "n0", "n1", "n2" }) {
-            readers.push_back(std::make_unique<Reader>(store, base.get(), name));
-            readers.back()->writer->set(std::string("first of ") + name);
+            topicClients.push_back(std::make_unique<TopicClient>(store, base.get(), name));
+            topicClients.back()->writer->setValue(std::string("first of ") + name);
         }
         const auto pass = [&](Duration length) {
             bool isOver = false;
             const auto timer = Timer::once(base.get(), length, [&] { isOver = true; });
             RC_ASSERT(runUntil(base.get(), [&] { return isOver; }));
         };
-        std::map<std::string, std::string> own;
-        for (const auto& it : readers)
-            own[it->key] = "first of " + it->key;
+        std::map<std::string, std::string> ownValues;
+        for (const auto& it : topicClients)
+            ownValues[it->key] = "first of " + it->key;
         for (int i = 0; i < 15; ++i) {
-            const auto dice = random.unit();
-            auto& reader = *readers[random.below(readers.size())];
-            if (dice < 0.3)
+            const auto draw = random.unit();
+            auto& topicClient = *topicClients[random.below(topicClients.size())];
+            if (draw < 0.3)
                 store.put("keyed.t", "k" + std::to_string(random.below(4)), std::to_string(i));
-            else if (dice < 0.5)
-                reader.writer->set(own[reader.key] = std::to_string(i) + " of " + reader.key);
-            else if (dice < 0.65)
+            else if (draw < 0.5)
+                topicClient.writer->setValue(
+                    ownValues[topicClient.key] = std::to_string(i) + " of " + topicClient.key);
+            else if (draw < 0.65)
                 store.keepCopy();
-            else if (dice < 0.8)
+            else if (draw < 0.8)
                 store.comeBack();
-            else if (dice < 0.9)
+            else if (draw < 0.9)
                 store.mode = FakeStore::Mode::Refusing;
             else
                 store.mode = FakeStore::Mode::Losing;
@@ -167,23 +168,23 @@
         }
         store.mode = FakeStore::Mode::Up;
         // Calls whose answers were lost end after their timeout, and what they carried is made again.
-        const auto isAlike = [&] {
-            Reader fresh(store, base.get(), "fresh");
+        const auto matchFreshClient = [&] {
+            TopicClient fresh(store, base.get(), "fresh");
             pass(50ms);
-            return std::all_of(readers.begin(), readers.end(), [&](const auto& it) {
+            return std::all_of(topicClients.begin(), topicClients.end(), [&](const auto& it) {
                 const auto at = fresh.known.find(it->key);
-                return it->known == fresh.known && at != fresh.known.end() && at->second == own[it->key];
+                return it->known == fresh.known && at != fresh.known.end()
+                    && at->second == ownValues[it->key];
             });
         };
-        bool isDone = false;
-        for (int i = 0; i < 40 && !isDone; ++i)
-            isDone = isAlike();
-        RC_ASSERT(isDone);
+        bool haveConverged = false;
+        for (int i = 0; i < 40 && !haveConverged; ++i)
+            haveConverged = matchFreshClient();
+        RC_ASSERT(haveConverged);
     });
 }
 
-TEST_CASE(
-    "A store that is back from an older copy gets nodes' records again, and nothing in force falls back",
+TEST_CASE("After a restore from an older copy nodes write their records again, and the state in force stays",
     "[era][mesh]")
 {
     MeshFixture f;
@@ -195,14 +196,14 @@
     f.untilServed(0);
     f.store.put("keyed.op", "config", MeshFixture::configuration(6));
     f.store.put("keyed.op", "evacuate/h2", "{}");
-    const auto metric = [&](std::size_t i, const std::string& line) {
+    const auto hasMetric = [&](std::size_t i, const std::string& line) {
         const auto text = f.send(f.places[i].settings.listen.metrics, { "GET", "/metrics", {}, {} }).body;
         return text.find(line + "\n") != std::string::npos;
     };
     const auto untilAll = [&](const std::string& line) {
         f.until([&] {
             f.pass(10ms);
-            return metric(0, line) && metric(1, line);
+            return hasMetric(0, line) && hasMetric(1, line);
         });
     };
     untilAll("robinrun_config_version 6");
--- a/test/fuzz/FuzzEntries.cpp
+++ b/test/fuzz/FuzzEntries.cpp
@@ -2,7 +2,7 @@
 /// announcements, configurations, records of nodes and messages between nodes.
 
 #include "Mesh/AnnouncedUpstream.h"
-#include "Mesh/ConfigFetch.h"
+#include "Mesh/ConfigPartAssembler.h"
 #include "Mesh/Gossip.h"
 #include "Mesh/NodeRegistry.h"
 #include "Mesh/WatchGroup.h"
@@ -25,7 +25,7 @@
     for (const char* method : { "PUT", "DELETE", "PUT" }) {
         const auto read = platform::readAnnouncement({ method, "/instances/i-1", {}, text });
         if (read)
-            upstream.take(read.value());
+            upstream.applyAnnouncement(read.value());
     }
     // No start that is heard may be one that its key does not name again.
     if (upstream.current()
@@ -38,17 +38,17 @@
     NodeRegistry registry;
     std::vector<std::string> addresses;
     for (const auto& it : message.node_records().records()) {
-        if (!faultOf(it).empty())
+        if (!validationError(it).empty())
             continue;
-        registry.take(it);
+        registry.mergeRecord(it);
         addresses.push_back(it.peer_address());
     }
     WatchGroup group("10.0.0.1:1", {});
     group.setNodes(addresses);
     const Gossip gossip(registry, "self", {}, [](const std::string&, proto::PeerMessage&, Instant) {});
     const auto ignore = [](proto::PeerMessage&) {};
-    gossip.complete(message.node_records(), ignore);
-    gossip.answer(message.registry_digests(), ignore);
+    gossip.sendMissingRecords(message.node_records(), ignore);
+    gossip.answerDigests(message.registry_digests(), ignore);
     (void)registry.upstreams();
     (void)registry.contactsOf("self", 16);
 }
@@ -67,9 +67,9 @@
     if (message.ParseFromString(text))
         takeRecords(message);
     if (message.has_config_part()) {
-        ConfigFetch fetch;
-        (void)fetch.take(message.config_part(), 1);
-        (void)fetch.text("");
+        ConfigPartAssembler fetch;
+        (void)fetch.addPart(message.config_part(), 1);
+        (void)fetch.decodeCopy("");
     }
     return 0;
 }
--- a/test/support/WatchModel.h
+++ b/test/support/WatchModel.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "Core/Random.h"
-#include "Mesh/FollowShare.h"
-#include "Mesh/StoreWatch.h"
+#include "Mesh/FollowerSelection.h"
+#include "Mesh/StoreReadTiming.h"
 #include "Mesh/WatchGroup.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace robinrun::support {
 
 /// \returns addresses of \a n nodes.
-inline std::vector<std::string> addressesOf(std::size_t n)
+inline std::vector<std::string> nodeAddresses(std::size_t n)
 {
     std::vector<std::string> out;
     for (std::size_t i = 0; i < n; ++i)
@@ -29,33 +29,33 @@
 /// checked is told from outside: the time since the store last had no newer version than a node has.
 class WatchModel {
 public:
-    static constexpr std::size_t contacts = 16;
-    static constexpr Duration step = 50ms;
-    static constexpr Duration round = 1s;
+    static constexpr std::size_t contactCount = 16;
+    static constexpr Duration stepLength = 50ms;
+    static constexpr Duration contactInterval = 1s;
     /// Links to nodes that don't answer are ended after two heartbeats.
-    static constexpr Duration linkLife = 500ms;
+    static constexpr Duration linkTimeout = 500ms;
 
     struct Options {
         std::size_t nodes = 295;
-        Duration changeEvery = 300ms;
-        double loss = 0.02; ///< of messages between nodes
-        Duration answer = 5ms; ///< of the store
+        Duration changeInterval = 300ms;
+        double lossRate = 0.02; ///< of messages between nodes
+        Duration storeLatency = 5ms; ///< of the store
     };
 
     WatchModel(std::uint64_t seed, Options options)
         : m_options(options)
         , m_random(seed)
-        , m_addresses(addressesOf(options.nodes))
+        , m_addresses(nodeAddresses(options.nodes))
         , m_nodes(options.nodes)
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
             auto& it = m_nodes[i];
             it.group.emplace(m_addresses[i], WatchGroup::Options {});
             it.group->setNodes(m_addresses);
-            it.share.emplace(m_addresses[i], FollowShare::Options {});
-            it.nextRound = m_now + m_random.below(1000) * 1ms;
-            it.readEnds = m_now + m_random.below(300) * 1ms;
-            for (std::size_t k = 0; k < contacts; ++k)
+            it.followerSelection.emplace(m_addresses[i], FollowerSelection::Options {});
+            it.nextContactAt = m_now + m_random.below(1000) * 1ms;
+            it.readEndsAt = m_now + m_random.below(300) * 1ms;
+            for (std::size_t k = 0; k < contactCount; ++k)
                 it.peers.push_back(m_random.below(m_nodes.size()));
         }
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
@@ -68,134 +68,139 @@
     std::size_t size() const { return m_nodes.size(); }
 
     /// \brief Nodes of different islands hear nothing of each other.
-    void setIsland(std::size_t node, int island)
+    void setPartition(std::size_t node, int partition)
     {
-        m_nodes[node].island = island;
-        m_nodes[node].cutAt = m_now;
+        m_nodes[node].partition = partition;
+        m_nodes[node].partitionedAt = m_now;
     }
     /// \brief What a node sends is lost from now on, or not any more.
     void setMute(std::size_t node, bool isMute) { m_nodes[node].isMute = isMute; }
     /// \brief The store answers a node nothing, or does again.
-    void setStoreReached(std::size_t node, bool isReached) { m_nodes[node].reachesStore = isReached; }
+    void setStoreReachable(std::size_t node, bool isReachable) { m_nodes[node].canReachStore = isReachable; }
     /// \brief A node does nothing until \a end.
     void freeze(std::size_t node, Instant end) { m_nodes[node].frozenUntil = end; }
-    void setAnswer(Duration answer) { m_options.answer = answer; }
+    void setStoreLatency(Duration storeLatency) { m_options.storeLatency = storeLatency; }
 
     Instant now() const { return m_now; }
-    std::uint64_t reads() const { return m_totalReads; }
+    std::uint64_t readCount() const { return m_readCount; }
     /// \returns the most reads that were begun in one step.
-    std::uint64_t mostReadsAtOnce() const { return m_mostReads; }
-    void forgetReads() { m_totalReads = m_mostReads = 0; }
+    std::uint64_t maxReadsPerStep() const { return m_maxReadsPerStep; }
+    void resetReadCounts() { m_readCount = m_maxReadsPerStep = 0; }
 
     /// \brief Runs for \a length. \returns the longest that a node which reaches the store, and is awake,
     /// went by a version that was overtaken.
     Duration run(Duration length)
     {
-        Duration oldest {};
-        for (const auto end = m_now + length; m_now < end; m_now += step) {
-            change();
-            const auto before = m_totalReads;
+        Duration longestStaleness {};
+        for (const auto end = m_now + length; m_now < end; m_now += stepLength) {
+            writeDueVersion();
+            const auto before = m_readCount;
             for (std::size_t i = 0; i < m_nodes.size(); ++i)
                 tick(i);
-            m_mostReads = std::max(m_mostReads, m_totalReads - before);
+            m_maxReadsPerStep = std::max(m_maxReadsPerStep, m_readCount - before);
             for (std::size_t i = 0; i < m_nodes.size(); ++i) {
                 const auto& it = m_nodes[i];
-                if (it.reachesStore && it.frozenUntil <= m_now)
-                    oldest = std::max(oldest, staleness(it));
+                if (it.canReachStore && it.frozenUntil <= m_now)
+                    longestStaleness = std::max(longestStaleness, staleness(it));
             }
         }
-        return oldest;
+        return longestStaleness;
     }
 
 private:
     struct Node {
         std::optional<WatchGroup> group;
-        std::optional<FollowShare> share;
+        std::optional<FollowerSelection> followerSelection;
         std::vector<std::size_t> peers;
-        Instant nextRound {};
+        Instant nextContactAt {};
         Instant frozenUntil {};
-        Instant cutAt { -1h };
-        int island = 0;
+        Instant partitionedAt { -1h };
+        int partition = 0;
         bool isMute = false;
-        bool reachesStore = true;
-        bool isResting = false;
+        bool canReachStore = true;
+        bool isOnStandby = false;
         bool isFollowing = false;
-        Instant restUntil {};
-        Instant sent {}; ///< of the read that is out
-        Duration wait {};
-        Instant readEnds {};
+        Instant standbyUntil {};
+        Instant readSentAt {}; ///< of the read that is out
+        Duration readWait {};
+        Instant readEndsAt {};
         std::uint64_t version = 0;
-        std::uint64_t fetching = 0; ///< version that was heard of
-        Instant fetched {};
+        std::uint64_t fetchingVersion = 0; ///< version that was heard of
+        Instant fetchedAt {};
     };
 
-    void change()
+    void writeDueVersion()
     {
-        if (m_options.changeEvery <= Duration::zero() || m_now - m_changes.back() < m_options.changeEvery)
+        if (m_options.changeInterval <= Duration::zero()
+            || m_now - m_versionTimes.back() < m_options.changeInterval)
             return;
-        m_changes.push_back(m_now);
+        m_versionTimes.push_back(m_now);
     }
 
     std::uint64_t versionAt(Instant at) const
     {
         return static_cast<std::uint64_t>(
-            std::upper_bound(m_changes.begin(), m_changes.end(), at) - m_changes.begin());
+            std::upper_bound(m_versionTimes.begin(), m_versionTimes.end(), at) - m_versionTimes.begin());
     }
 
     /// \returns how long ago the version after the one that the node has was written.
     Duration staleness(const Node& node) const
     {
-        return node.version < m_changes.size() ? m_now - m_changes[node.version] : Duration::zero();
+        return node.version < m_versionTimes.size() ? m_now - m_versionTimes[node.version] : Duration::zero();
     }
 
-    bool isWatched(const Node& node) const
+    bool mayStandBy(const Node& node) const
     {
-        return node.group->isMember() ? node.share->mayRest(m_now) : node.group->isWatched(m_now);
+        return node.group->isMember() ? node.followerSelection->mayStandBy(m_now)
+                                      : node.group->mayStandBy(m_now);
     }
 
-    void read(Node& node, Duration wait)
+    void startRead(Node& node, Duration readWait)
     {
-        ++m_totalReads;
-        node.sent = m_now;
-        node.wait = wait;
-        const auto timeout = wait + 1s;
-        if (!node.reachesStore) {
-            node.readEnds = m_now + timeout;
+        ++m_readCount;
+        node.readSentAt = m_now;
+        node.readWait = readWait;
+        const auto timeout = readWait + 1s;
+        if (!node.canReachStore) {
+            node.readEndsAt = m_now + timeout;
             return;
         }
         // A waiting read is answered when there is news.
-        const auto isNews = versionAt(m_now) > node.version;
-        const auto news = m_options.changeEvery > Duration::zero() ? m_changes.back() + m_options.changeEvery
-                                                                   : Instant::max();
-        node.readEnds = (isNews ? m_now : std::min(m_now + wait, std::max(news, m_now))) + m_options.answer;
+        const auto hasNewVersion = versionAt(m_now) > node.version;
+        const auto nextVersionAt = m_options.changeInterval > Duration::zero()
+            ? m_versionTimes.back() + m_options.changeInterval
+            : Instant::max();
+        node.readEndsAt = (hasNewVersion ? m_now : std::min(m_now + readWait, std::max(nextVersionAt, m_now)))
+            + m_options.storeLatency;
     }
 
-    void endRead(Node& node)
+    void finishRead(Node& node)
     {
-        if (!node.reachesStore) {
+        if (!node.canReachStore) {
             node.isFollowing = false;
-            node.group->readFailed(m_now);
-            node.readEnds = m_now + 1s; // a pause, then the next
-            node.wait = {};
-            if (isWatched(node))
-                rest(node);
+            node.group->onReadFailed(m_now);
+            node.readEndsAt = m_now + 1s; // a pause, then the next
+            node.readWait = {};
+            if (mayStandBy(node))
+                enterStandby(node);
             return;
         }
-        const auto brought = versionAt(m_now - m_options.answer);
-        const bool isNews = node.wait > Duration::zero() && brought > node.version;
-        adopt(node, brought);
-        node.group->read(isNews ? m_now - m_options.answer : std::min(node.sent + node.wait, m_now));
+        const auto readVersion = versionAt(m_now - m_options.storeLatency);
+        const bool hasNewVersion = node.readWait > Duration::zero() && readVersion > node.version;
+        adopt(node, readVersion);
+        node.group->onRead(hasNewVersion ? m_now - m_options.storeLatency
+                                         : std::min(node.readSentAt + node.readWait, m_now));
         const bool isFirst = !std::exchange(node.isFollowing, true);
-        if (isFirst || node.nextRound - m_now < round / 2)
-            node.nextRound = m_now;
-        if (isWatched(node))
-            return rest(node);
-        read(node, m_watch.wait(WatchGroup::Options {}.size, m_random.unit()));
+        if (isFirst || node.nextContactAt - m_now < contactInterval / 2)
+            node.nextContactAt = m_now;
+        if (mayStandBy(node))
+            return enterStandby(node);
+        startRead(node, m_readTiming.nextWait(WatchGroup::Options {}.maxMembers, m_random.unit()));
     }
 
-    void rest(Node& node)
+    void enterStandby(Node& node)
     {
-        node.isResting = true;
+        node.isOnStandby = true;
         node.isFollowing = false;
     }
 
@@ -204,8 +209,8 @@
         if (version <= node.version)
             return;
         node.version = version;
-        node.group->adopted(version);
-        node.nextRound = m_now;
+        node.group->onAdopted(version);
+        node.nextContactAt = m_now;
     }
 
     void tick(std::size_t i)
@@ -213,71 +218,72 @@
         auto& node = m_nodes[i];
         if (node.frozenUntil > m_now)
             return;
-        if (node.fetching > node.version && node.fetched <= m_now)
-            adopt(node, node.fetching);
-        noticeCut(i);
-        if (node.isResting) {
-            if (isWatched(node))
-                node.restUntil = m_now
-                    + (node.group->isMember() ? node.share->takeOverDelay(m_now)
+        if (node.fetchingVersion > node.version && node.fetchedAt <= m_now)
+            adopt(node, node.fetchingVersion);
+        closeCutLinks(i);
+        if (node.isOnStandby) {
+            if (mayStandBy(node))
+                node.standbyUntil = m_now
+                    + (node.group->isMember() ? node.followerSelection->takeOverDelay(m_now)
                                               : node.group->takeOverDelay());
-            else if (m_now >= node.restUntil) {
-                node.isResting = false;
-                read(node, Duration::zero());
+            else if (m_now >= node.standbyUntil) {
+                node.isOnStandby = false;
+                startRead(node, Duration::zero());
             }
-        } else if (m_now >= node.readEnds) {
-            endRead(node);
+        } else if (m_now >= node.readEndsAt) {
+            finishRead(node);
         }
-        if (m_now >= node.nextRound)
-            tell(i);
+        if (m_now >= node.nextContactAt)
+            sendContacts(i);
     }
 
     /// \brief Links to all peers of other islands end a moment after the cut.
-    void noticeCut(std::size_t i)
+    void closeCutLinks(std::size_t i)
     {
         auto& node = m_nodes[i];
-        if (m_now - node.cutAt < linkLife || m_now - node.cutAt >= linkLife + step)
+        if (m_now - node.partitionedAt < linkTimeout
+            || m_now - node.partitionedAt >= linkTimeout + stepLength)
             return;
         for (std::size_t k = 0; k < m_nodes.size(); ++k) {
-            if (m_nodes[k].island != node.island)
-                node.share->lost(m_addresses[k]);
+            if (m_nodes[k].partition != node.partition)
+                node.followerSelection->onLinkClosed(m_addresses[k]);
         }
-        if (!node.share->hearsAny())
-            node.group->loseContacts();
+        if (!node.followerSelection->hasPeers())
+            node.group->onContactsLost();
     }
 
-    void tell(std::size_t i)
+    void sendContacts(std::size_t i)
     {
         auto& node = m_nodes[i];
-        node.nextRound = m_now + round;
+        node.nextContactAt = m_now + contactInterval;
         for (const auto to : node.peers)
-            send(i, to);
+            sendContact(i, to);
         if (!node.group->isMember())
             return;
         for (const auto to : m_members) {
             if (to != i)
-                send(i, to);
+                sendContact(i, to);
         }
     }
 
-    void send(std::size_t from, std::size_t to)
+    void sendContact(std::size_t from, std::size_t to)
     {
         const auto& a = m_nodes[from];
         auto& b = m_nodes[to];
-        const bool isLost = a.isMute || a.island != b.island || m_random.unit() < m_options.loss;
+        const bool isLost = a.isMute || a.partition != b.partition || m_random.unit() < m_options.lossRate;
         if (isLost || b.frozenUntil > m_now || from == to)
             return;
-        b.share->heard(m_addresses[from], a.isFollowing, m_now);
+        b.followerSelection->onPeerStatus(m_addresses[from], a.isFollowing, m_now);
         if (const auto& outage = a.group->outage())
-            b.group->heardOutage(*outage);
-        const auto before = b.group->age(m_now);
+            b.group->onOutage(*outage);
+        const auto before = b.group->confirmationAge(m_now);
         if (const auto known = a.group->confirmation()) {
-            if (b.group->heard(a.version, *known) && before && *before > 1800ms)
-                b.nextRound = m_now;
+            if (b.group->onPeerConfirmation(a.version, *known) && before && *before > 1800ms)
+                b.nextContactAt = m_now;
         }
-        if (a.version > b.version && a.version > b.fetching) {
-            b.fetching = a.version;
-            b.fetched = m_now + step;
+        if (a.version > b.version && a.version > b.fetchingVersion) {
+            b.fetchingVersion = a.version;
+            b.fetchedAt = m_now + stepLength;
         }
     }
 
@@ -286,11 +292,11 @@
     std::vector<std::string> m_addresses;
     std::vector<Node> m_nodes;
     std::vector<std::size_t> m_members;
-    StoreWatch m_watch { { 4, contacts } };
+    StoreReadTiming m_readTiming { { 4, contactCount } };
     Instant m_now { 1h };
-    std::vector<Instant> m_changes { Instant(1h) - 1min }; ///< when each version was written
-    std::uint64_t m_totalReads = 0;
-    std::uint64_t m_mostReads = 0;
+    std::vector<Instant> m_versionTimes { Instant(1h) - 1min }; ///< when each version was written
+    std::uint64_t m_readCount = 0;
+    std::uint64_t m_maxReadsPerStep = 0;
 };
 
 } // namespace robinrun::support
