--- a/src/Routing/CallSizeEstimate.h
+++ b/src/Routing/CallSizeEstimate.h
@@ -9,15 +9,15 @@
 
 namespace robinrun {
 
-/// \brief How many bytes calls of each class move, with their answers: what a call to another data hall costs
-/// there beside its time.
+/// \brief Estimates how many bytes the calls of each class transfer, answers included.
 ///
-/// Classes differ by a factor of six in what they move, and those that move most are worth twice as much, not
-/// six times. With one price for all of them, calls of 9 KB left their hall as readily as those of 1.5 KB.
-/// Cost: O(log classes); about 100 bytes a class.
+/// The estimate scales the cost of the bytes that a call to another data hall transfers. Classes differ by a
+/// factor of six in the bytes of a call, while the calls with the most bytes are worth only twice as much as
+/// those with the fewest. With one cost for all classes, calls of 9 KB were sent to other data halls as often
+/// as calls of 1.5 KB. Cost: O(log classes); about 100 bytes of memory per class.
 class CallSizeEstimate {
 public:
-    /// \brief A call of \a callClass and its answer had \a bytes of bodies.
+    /// \brief Records a call of \a callClass. \param bytes size of the bodies of the request and the answer.
     void addCall(std::string_view callClass, std::size_t bytes)
     {
         const auto sample = static_cast<double>(bytes) + framingBytes;
@@ -28,7 +28,8 @@
         m_meanBytes.add(sample);
     }
 
-    /// \returns the bytes of a call of \a callClass over those of a mean call here; 1 before any was seen.
+    /// \returns the mean bytes of a call of \a callClass, divided by the mean bytes of all calls at this
+    /// ingress; 1 if no call of the class has been recorded.
     double relativeBytes(std::string_view callClass) const
     {
         const auto it = m_meanBytesByClass.find(callClass);
@@ -38,9 +39,10 @@
     }
 
 private:
-    static constexpr double classSampleWeight = 0.05; ///< of one call: the last 20 or so count
-    static constexpr double meanSampleWeight = 0.01; ///< of one call, of any class
-    static constexpr double framingBytes = 500; ///< bytes of headers and envelopes of a call and its answer
+    static constexpr double classSampleWeight = 0.05; ///< a mean covers about the last 20 calls of its class
+    /// The mean covers about the last 100 calls of all classes.
+    static constexpr double meanSampleWeight = 0.01;
+    static constexpr double framingBytes = 500; ///< headers and envelopes of a call and its answer
 
     std::map<std::string, Ewma, std::less<>> m_meanBytesByClass;
     Ewma m_meanBytes { meanSampleWeight };
--- a/src/Routing/ChoicePolicy.cpp
+++ b/src/Routing/ChoicePolicy.cpp
@@ -9,11 +9,11 @@
 namespace robinrun {
 namespace {
 
-    /// How many reports the hot/cold ranking samples, and the load quantile above which one is hot.
+    /// Number of candidates that HotColdChoice samples, and the quantile of the load from which one is hot.
     constexpr std::size_t hotColdSampleSize = 3;
     constexpr double hotLoadQuantile = 0.75;
 
-    /// Slot time to reckon with before any report: any will do that lets own calls in flight count.
+    /// Slot time assumed before the first report. Any value above 0 makes calls in flight count.
     constexpr double defaultSlotSeconds = 0.01;
 
     double reportedLoad(const UpstreamView& view)
@@ -28,7 +28,7 @@
         return view.report() ? toSeconds(view.report()->load.service) : 0;
     }
 
-    /// \returns the candidate with the least score; ties go to one of them at random.
+    /// \returns the candidate with the least score; breaks ties at random.
     template <class Score>
     std::size_t candidateWithLeastScore(std::span<const std::size_t> candidates, Random& random, Score score)
     {
@@ -48,7 +48,7 @@
         return best;
     }
 
-    /// \brief Draws up to \a n different candidates into \a out.
+    /// \brief Fills \a out with up to \a n different random candidates.
     void drawSample(
         std::vector<std::size_t>& out, std::span<const std::size_t> candidates, std::size_t n, Random& random)
     {
@@ -198,7 +198,7 @@
     const auto responseTime = expectedTime(view, input);
     if (input.remainingTargetLatency <= Duration::zero())
         return toSeconds(responseTime);
-    require(input.latenessEstimate, "TimelyChoice: the chance to be late is known");
+    require(input.latenessEstimate, "TimelyChoice: a call with a target latency has a lateness estimate");
     const double targetShare = toSeconds(responseTime) / toSeconds(input.remainingTargetLatency);
     const double lateProbability
         = input.latenessEstimate->lateProbability(responseTime, input.remainingTargetLatency);
--- a/src/Routing/ChoicePolicy.h
+++ b/src/Routing/ChoicePolicy.h
@@ -15,7 +15,7 @@
 
 namespace robinrun {
 
-/// \brief The ways to choose an upstream. All but the last are kept as baselines to measure against.
+/// \brief The policies that choose an upstream. All but the last are baselines for measurements.
 enum class ChoicePolicyKind {
     Random,
     RoundRobin,
@@ -31,66 +31,75 @@
         "power-of-two", "hot-cold", "robinrun", "timely" };
 };
 
-/// \brief Candidates of one decision: indexes into `views` that may be chosen.
+/// \brief Input of one choice: the upstreams and the properties of the call.
 struct ChoiceInput {
     std::span<const UpstreamView> views;
-    std::span<const std::size_t> candidates;
+    std::span<const std::size_t> candidates; ///< indexes into `views` that may be chosen
     Instant now {};
     std::uint32_t group = 0;
-    Duration remainingTargetLatency {}; ///< what is left of it; 0: none
-    WorkEstimate workEstimate {}; ///< slot times of such calls
-    const LatenessEstimate* latenessEstimate
-        = nullptr; ///< of such calls; needed where there is a target latency
-    double relativeBytes = 1; ///< of such a call and its answer, over those of a mean call
+    Duration remainingTargetLatency {}; ///< time left until the target latency; 0: the call has no target
+    WorkEstimate workEstimate {}; ///< slot times of the calls of the class
+    /// Lateness of the answers of the class. Required if the call has a target latency.
+    const LatenessEstimate* latenessEstimate = nullptr;
+    /// Bytes of a call of the class and its answer, divided by those of a mean call.
+    double relativeBytes = 1;
 };
 
-/// \brief Uniform choice, blind to load.
+/// \brief Chooses uniformly at random, regardless of load.
 struct RandomChoice {
     std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
-/// \brief Each candidate in turn, blind to load.
+/// \brief Chooses each candidate in turn, regardless of load.
 struct RoundRobinChoice {
     std::size_t nextPosition = 0;
     std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
-/// \brief Least own calls in flight; ties at random.
+/// \brief Chooses the candidate with the fewest calls in flight from this ingress; breaks ties at random.
 struct LeastInFlightChoice {
     std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
-/// \brief The less loaded of two random candidates, by the last report as it stands.
+/// \brief Chooses the less loaded of two random candidates by their last reports, regardless of the reports'
+/// age.
 struct PowerOfTwoChoice {
     std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
-/// \brief Probing with hot/cold ranking: of a few sampled reports those above a load quantile are hot; among
-/// the cold ones the least latency wins, and if all are hot the least load.
+/// \brief Samples a few candidates and ranks them as hot or cold by their reported load.
+///
+/// Candidates at or above a quantile of the load are hot. The policy chooses the cold candidate with the
+/// least slot time, or the one with the least load if all are hot.
 struct HotColdChoice {
     std::size_t operator()(const ChoiceInput& input, Random& random);
 };
 
-/// \brief robinrun's own: the least expected delay, from own calls (exact) and others' (stale, by age).
+/// \brief Chooses the candidate with the least expected delay, from the exact count of this ingress's calls
+/// in flight and the owners' reports on the calls of other ingresses.
 ///
-/// Expected delay = round trip + wait for a slot + slot time. Others' calls are taken from the owner's last
-/// report and decay towards the mean over the candidates as the report ages, so old news of an idle or a busy
-/// upstream counts less and less. Own calls in flight weigh more than they are: they are the one exact
-/// figure, and spread each ingress's calls evenly, so that ingresses with the same news don't all follow it.
+/// Expected delay = round trip + wait for a slot + slot time, plus a penalty for load below saturation. It
+/// grows with the share of failed calls. The number of other ingresses' calls is taken from the owner's last
+/// report. It decays towards the mean over the candidates as the report ages, so that an old report of an
+/// idle or a busy upstream counts less and less. In the penalty a call of this ingress counts for more than
+/// one call: the count of these calls is the only exact figure, and the higher weight spreads the calls of
+/// each ingress evenly, so that ingresses with the same reports don't all choose the same upstream.
 /// Cost: O(candidates); about 15 ns each.
 /// \sa docs/design/choice.md
 struct ExpectedDelayChoice {
     struct Options {
-        Duration loadDecayTime = 60ms; ///< time constant for others' calls
-        Duration slotTimeDecayTime = 2s; ///< time constant for the slot time
-        double equalSlotTimeFactor
-            = 1.5; ///< slot times within this factor of the median are taken as equal: they differ by chance
-        Duration slowStartDuration = 5s; ///< length of the slow start
-        std::size_t sampleSize = 8; ///< candidates compared
-        double loadPenaltySlope
-            = 0.5; ///< part of a slot time that a full set of slots counts for below saturation
-        double ownCallWeight = 8; ///< how many calls one own call in flight counts for, below saturation
-        double maxLoadPenalty = 10; ///< bound of what load below saturation counts for, in slot times
+        Duration loadDecayTime = 60ms; ///< time constant of the reported load of other ingresses
+        Duration slotTimeDecayTime = 2s; ///< time constant of the reported slot time
+        /// Slot times within this factor of the median count as equal: such differences are noise.
+        double equalSlotTimeFactor = 1.5;
+        Duration slowStartDuration = 5s;
+        std::size_t sampleSize = 8; ///< number of candidates that are compared
+        /// Load penalty of an upstream whose slots are all in use, in slot times; in proportion for a lower
+        /// load.
+        double loadPenaltySlope = 0.5;
+        /// Number of calls that a call of this ingress counts for in the load penalty.
+        double ownCallWeight = 8;
+        double maxLoadPenalty = 10; ///< upper bound of the load penalty, in slot times
     };
     Options options {};
     std::size_t operator()(const ChoiceInput& input, Random& random);
@@ -98,7 +107,7 @@
 private:
     struct CandidateSummary {
         double otherCallsPerSlot = 0;
-        double medianSlotSeconds = 0; ///< the median
+        double medianSlotSeconds = 0;
     };
     CandidateSummary summarizeCandidates(const ChoiceInput& input);
     double slotSecondsOf(const UpstreamView& view, const CandidateSummary& summary, Instant now) const;
@@ -108,42 +117,47 @@
     std::vector<double> m_slotSeconds;
 };
 
-/// \brief The least expected loss of credit, for calls with a target latency.
+/// \brief Chooses the candidate with the least expected loss of credit, for calls with a target latency.
 ///
-/// An answer in time is worth 1, a late one next to nothing; so what counts is the chance to be late, not the
-/// delay itself: a near upstream that is in time goes before a faster one far away. The expected time is
-/// round trip + wait for a slot + calm slot time x the slow-down that the owner last told of; owners tell of
-/// each change. An upstream that is slow without telling is not known by this. Calls without a target go by
-/// the time alone.
-/// Cost: O(candidates).
+/// An answer in time earns a credit of 1, a late one next to nothing. The policy therefore minimizes the
+/// probability of a late answer rather than the delay, and prefers an upstream in the ingress's own data hall
+/// that is in time to a faster one in another hall. The expected time is round trip + wait for a slot + slot
+/// time without slow-down x the slow-down that the owner reported last; owners report each change. For calls
+/// without a target latency the expected time itself is minimized. Caveat: the policy doesn't detect a slow
+/// upstream whose backend server reports no slow-down. Cost: O(candidates).
 /// \sa docs/design/platform.md
 struct TimelyChoice {
     struct Options {
-        Duration slowdownDecayTime = 1s; ///< time constant, in case that the news of its end is lost
-        Duration loadDecayTime = 500ms; ///< time constant for others' calls
-        double farLoss = 0.15; ///< credit that the bytes of a mean call to another data hall cost
-        double minRelativeBytes = 0.2; ///< a small call costs messages and time on its way all the same
-        double maxRelativeBytes = 4; ///< a large one is not kept where it can't be served for its bytes alone
-        double delayLossPerTarget = 0.1; ///< credit for each target latency that passes, among those in time
+        /// Time constant of a reported slow-down, in case the report of its end is lost.
+        Duration slowdownDecayTime = 1s;
+        Duration loadDecayTime = 500ms; ///< time constant of the reported load of other ingresses
+        double farLoss = 0.15; ///< credit lost for the bytes of a mean call to another data hall
+        /// The messages and the network time of a small call still cost this much.
+        double minRelativeBytes = 0.2;
+        /// Bounds the loss, so that a large call still leaves a hall where it would be late.
+        double maxRelativeBytes = 4;
+        /// Credit lost per target latency of expected time; prefers the faster upstream among those in time.
+        double delayLossPerTarget = 0.1;
     };
     Options options {};
     std::size_t operator()(const ChoiceInput& input, Random& random);
 
-    /// \returns the time that a call is expected to take there.
+    /// \returns the expected time from sending a call to \a view until its answer arrives.
     Duration expectedTime(const UpstreamView& view, const ChoiceInput& input) const;
 
 private:
     double expectedLoss(const UpstreamView& view, const ChoiceInput& input) const;
 };
 
-/// \brief A way to choose, with its state.
+/// \brief A policy that chooses an upstream, with its state.
 using ChoicePolicy = std::variant<RandomChoice, RoundRobinChoice, LeastInFlightChoice, PowerOfTwoChoice,
     HotColdChoice, ExpectedDelayChoice, TimelyChoice>;
 
-/// \returns the choice of \a kind with its defaults.
+/// \returns the policy of \a kind with its default options.
 ChoicePolicy makeChoicePolicy(ChoicePolicyKind kind);
 
-/// \brief Chooses among the candidates. \returns an index into the views; nothing if there are no candidates.
+/// \brief Chooses one of the candidates. \returns its index into `views`; std::nullopt if there are no
+/// candidates.
 std::optional<std::size_t> chooseUpstream(ChoicePolicy& policy, const ChoiceInput& input, Random& random);
 
 } // namespace robinrun
--- a/src/Routing/Ejection.cpp
+++ b/src/Routing/Ejection.cpp
@@ -73,7 +73,8 @@
     if (!isPanic && !out.empty())
         return;
     out.clear();
-    // Where all are lost, the news may be old: after a cut their links stand again before they were heard.
+    // If all upstreams are lost, their states may be stale: after a network partition the links are up again
+    // before the first load report arrives.
     const auto eligible = active ? UpstreamState::Active : UpstreamState::Lost;
     for (std::size_t i = 0; i < views.size(); ++i) {
         if (views[i].state() == eligible && !contains(excluded, i))
--- a/src/Routing/Ejection.h
+++ b/src/Routing/Ejection.h
@@ -10,20 +10,22 @@
 
 namespace robinrun {
 
-/// \brief Keeps upstreams that fail out of the choice for a while: a fast error is not a fast server.
+/// \brief Outlier ejection: excludes failing upstreams from the choice for a limited time.
 ///
-/// At most `maxShare` of a service's upstreams are out at a time, and when fewer than `panicShare` would be
-/// left ejections are passed over (panic): if most look bad, the news is likely wrong or the load is what
-/// hurts. After its time an upstream comes back with a slow start; if it fails again it stays out twice as
-/// long. Cost: O(upstreams) a decision.
+/// Without it, an upstream that fails fast would look like a fast one and attract calls. At most
+/// `maxEjectedShare` of the upstreams of a service are ejected at a time. If less than `panicThreshold` of
+/// the active upstreams would be left, ejections are ignored (panic mode): when most upstreams fail, the
+/// reports are likely wrong or the cause is overload. An upstream returns with a slow start. Its next
+/// ejection lasts twice as long, unless its share of errors has fallen below a tenth of the maximum before.
+/// Cost: O(upstreams) per decision.
 class Ejection {
 public:
     struct Options {
-        double maxErrorShare = 0.5; ///< ejected above it
-        Duration initialDuration = 1s; ///< length of the first ejection
+        double maxErrorShare = 0.5; ///< an upstream with a larger share of errors is ejected
+        Duration initialDuration = 1s; ///< of the first ejection
         Duration maxDuration = 30s;
-        double maxEjectedShare = 0.5;
-        double panicThreshold = 0.34;
+        double maxEjectedShare = 0.5; ///< of the upstreams of the service
+        double panicThreshold = 0.34; ///< share of the active upstreams below which ejections are ignored
     };
 
     explicit Ejection(Options options)
@@ -31,11 +33,13 @@
     {
     }
 
-    /// \brief Judges all upstreams by their errors. \returns indexes that came back now and must warm up.
+    /// \brief Ejects upstreams by their share of errors and ends expired ejections.
+    /// \returns the indexes of the upstreams whose ejection ended with this call; they need a slow start.
     std::vector<std::size_t> update(std::span<const UpstreamView> views, Instant now);
 
-    /// \brief Fills \a out with the upstreams that may get new calls: active, not ejected, not \a excluded;
-    /// where there are none, all active ones that are not excluded, or the lost ones if none is active.
+    /// \brief Fills \a out with the indexes of the upstreams that may get new calls: those that are active,
+    /// available, not ejected and not \a excluded. In panic mode, or if there are none, fills it with all
+    /// active upstreams that are not excluded, or with the lost ones if no upstream is active.
     void collectCandidates(std::span<const UpstreamView> views, std::span<const std::size_t> excluded,
         Instant now, std::vector<std::size_t>& out) const;
 
--- a/src/Routing/HallSubset.cpp
+++ b/src/Routing/HallSubset.cpp
@@ -5,7 +5,7 @@
 namespace robinrun {
 namespace {
 
-    /// Of the upstreams that an ingress keeps to, at least one in so many is in another data hall.
+    /// One in this many upstreams of a subset, rounded down, is in another data hall.
     constexpr std::size_t farDivisor = 3;
 
 } // namespace
--- a/src/Routing/HallSubset.h
+++ b/src/Routing/HallSubset.h
@@ -6,21 +6,25 @@
 
 namespace robinrun {
 
-/// \brief An upstream of a service as an ingress chooses which ones to keep to.
+/// \brief The name of an upstream and whether it is in the ingress's data hall.
 struct UpstreamLocation {
     std::string name;
-    bool isNear = false; ///< in the ingress's own data hall
+    bool isNear = false; ///< whether the upstream is in the ingress's own data hall
 };
 
-/// \brief Chooses the upstreams that one ingress keeps to where data halls matter: most of them near, and at
-/// least a third in other halls, for when the own one is full or lost.
+/// \brief Chooses the subset of upstreams that one ingress uses, most of them near and the others far.
 ///
-/// Near ones and far ones are each chosen by chooseSubset() among the ingresses of the same hall, so that all
-/// upstreams of a hall get the same number of near callers, and each hall's far callers spread over all other
-/// halls. An ingress that knew no other ingress would take the first ones by hash, as all others would: of
-/// 144 upstreams in five halls, 64 got no call at all, measured at 295 nodes with subsets of 24.
-/// Cost: O(n log n), on changes of membership only.
-/// \param hallIngresses names of the ingresses in the own hall, \a self among them.
+/// Near upstreams are in the ingress's own data hall, far ones in other halls. At least a third of the subset
+/// is far, for when the own hall is overloaded or lost.
+///
+/// The near and the far upstreams are each chosen by chooseSubset() with the ingresses of the hall. So each
+/// upstream is a near one for about the same number of ingresses of its hall, and the far subsets of a hall's
+/// ingresses spread over all other halls. If an ingress didn't know the other ingresses, all of them would
+/// choose the first upstreams by hash: at 295 nodes with subsets of 24, 64 of 144 upstreams in five halls got
+/// no call at all. Cost: O(n log n), on changes of membership only.
+/// \param hallIngresses names of the ingresses in the ingress's data hall, including \a self.
+/// \param self name of the ingress.
+/// \param size number of upstreams in the subset.
 /// \returns indexes into \a upstreams.
 std::vector<std::size_t> chooseHallSubset(const std::vector<UpstreamLocation>& upstreams,
     const std::vector<std::string>& hallIngresses, const std::string& self, std::size_t size);
--- a/src/Routing/ImmediateAttemptPolicy.h
+++ b/src/Routing/ImmediateAttemptPolicy.h
@@ -7,18 +7,20 @@
 
 namespace robinrun {
 
-/// \brief Whether owners of a service are worth asking to run a call at once, before it waits at one of them.
+/// \brief Decides how many immediate attempts a call makes before it is queued.
 ///
-/// Answers the load at which a service has more calls than slots: then nearly every owner that is asked is
-/// busy, each question costs a round trip of the call's time and work at the busiest nodes, and the call
-/// waits in the end all the same. A few calls go on asking, so that it shows when there is room again. No
-/// I/O. Cost: O(1).
+/// An immediate attempt asks an owner to run the call at once and to refuse it if all slots are busy. When a
+/// service has more calls than slots, nearly every owner refuses: each immediate attempt then costs the call
+/// a round trip and adds work at the busiest nodes, and the call is queued in the end anyway. The policy
+/// therefore stops immediate attempts while most of them are refused, except for a small share of the calls,
+/// whose answers show when slots are free again. No I/O. Cost: O(1).
 class ImmediateAttemptPolicy {
 public:
-    /// \brief An owner was asked. \param wasBusy it did not run the call at once.
+    /// \brief Records the answer to an immediate attempt.
+    /// \param wasBusy whether the owner refused the call because all its slots were busy.
     void recordAnswer(bool wasBusy) { m_busyShare.add(wasBusy ? 1 : 0); }
 
-    /// \returns how many owners to ask for the next call, \a maxAttempts where it is worthwhile.
+    /// \returns the number of immediate attempts for the next call: \a maxAttempts or 0.
     std::uint32_t attemptsForNextCall(std::uint32_t maxAttempts, Random& random) const
     {
         if (m_busyShare.value() < maxBusyShare || random.chance(explorationShare))
@@ -27,10 +29,12 @@
     }
 
 private:
-    static constexpr double sampleWeight = 0.1; ///< the last ten answers or so count
-    /// Beyond, two questions find a free owner for less than half of the calls.
+    static constexpr double sampleWeight = 0.1; ///< the mean covers about the last 10 answers
+    /// Above this share of busy answers, two immediate attempts find a free owner for about half of the calls
+    /// or fewer.
     static constexpr double maxBusyShare = 0.7;
-    static constexpr double explorationShare = 0.1; ///< of the calls ask all the same
+    /// Share of the calls that make immediate attempts anyway.
+    static constexpr double explorationShare = 0.1;
 
     Ewma m_busyShare { sampleWeight };
 };
--- a/src/Routing/LatencyStatistics.h
+++ b/src/Routing/LatencyStatistics.h
@@ -8,9 +8,10 @@
 
 namespace robinrun {
 
-/// \brief Mean and mean deviation of latencies, and from them when an answer is late (after RFC 6298).
+/// \brief Tracks the mean and the mean deviation of latencies, and derives from them the time after which an
+/// answer is late, as RFC 6298 does for TCP's retransmission timer.
 ///
-/// Cost: O(1); 32 bytes.
+/// Cost: O(1); 32 bytes of memory.
 class LatencyStatistics {
 public:
     void addSample(Duration latency)
@@ -22,8 +23,7 @@
         ++m_samples;
     }
 
-    /// \returns the time after which an answer is later than nearly all; nothing before enough have been
-    /// seen.
+    /// \returns the time within which nearly all answers arrive; std::nullopt before `minSamples` samples.
     std::optional<Duration> lateThreshold() const
     {
         if (m_samples < minSamples)
@@ -33,7 +33,8 @@
 
 private:
     static constexpr unsigned minSamples = 20;
-    /// Log-normal latencies with sigma 0.5 pass this in about 1 of 700 cases.
+    /// Distance of the threshold from the mean, in mean deviations. About 1 in 700 log-normal latencies with
+    /// sigma 0.5 exceeds it.
     static constexpr double lateDeviations = 6;
 
     Ewma m_mean { 0.02 };
--- a/src/Routing/LatenessEstimate.cpp
+++ b/src/Routing/LatenessEstimate.cpp
@@ -6,12 +6,13 @@
 namespace robinrun {
 namespace {
 
-    /// Bins of the ratio: from this logarithm on, each so wide. Ratios from 0.14 to 7.4.
+    /// Lower edge of the first bin, and width of each bin, as natural logarithms of the ratio of actual to
+    /// expected time. The bins cover ratios from 0.14 to 7.4.
     constexpr double firstBinLogRatio = -2;
     constexpr double binWidth = 0.1;
-    /// An answer counts for 1/e after so many others: seconds to minutes under load.
+    /// Number of later responses after which a response counts for 1/e: seconds to minutes under load.
     constexpr double decayResponses = 300;
-    /// Weight, in answers, and width of what is taken for granted before any.
+    /// Weight of the prior distribution, in responses, and its standard deviation of the log-ratio.
     constexpr double priorWeight = 20;
     constexpr double priorLogDeviation = 0.33;
 
@@ -21,6 +22,7 @@
         return std::log(toSeconds(std::max(a, minDuration)) / toSeconds(std::max(b, minDuration)));
     }
 
+    /// \returns the cumulative distribution function of the prior at the log-ratio \a x.
     double priorCumulative(double x)
     {
         return 0.5 * std::erfc(-x / priorLogDeviation / std::sqrt(2));
--- a/src/Routing/LatenessEstimate.h
+++ b/src/Routing/LatenessEstimate.h
@@ -7,21 +7,22 @@
 
 namespace robinrun {
 
-/// \brief How likely an answer is to be late, from how far earlier ones were off what was expected of them.
+/// \brief Estimates the probability that an answer is late, from the response times of earlier calls.
 ///
-/// Work varies from call to call, and servers turn slow while a call runs; by how much differs from class to
-/// class. Kept are the ratios of the time that answers took to the time that was expected, in a histogram
-/// over their logarithms in which older ones count less. Before any answer, work is taken to vary by a third.
-/// Cost: O(bins) an answer, O(bins) a reading; 350 bytes.
+/// The work of a call varies, and backend servers slow down while a call runs; how much differs between
+/// classes. The estimate is a histogram over the logarithm of the ratio of actual to expected response time,
+/// with exponentially decaying weights. Its prior is a log-normal distribution with a deviation of a third.
+/// Cost: O(bins) per response and per query; 350 bytes of memory.
 class LatenessEstimate {
 public:
     LatenessEstimate();
 
-    /// \brief An answer took \a actual where \a expected was expected; both above 0.
+    /// \brief Records a response time of \a actual where \a expected was expected. Times below 1 us count as
+    /// 1 us.
     void addResponse(Duration actual, Duration expected);
 
-    /// \returns the chance, in [0, 1], that an answer of which \a expected is expected takes more than \a
-    /// limit.
+    /// \returns the probability, in [0, 1], that a response with the expected time \a expected takes longer
+    /// than \a limit.
     double lateProbability(Duration expected, Duration limit) const;
 
 private:
--- a/src/Routing/NestedCallEstimate.h
+++ b/src/Routing/NestedCallEstimate.h
@@ -9,16 +9,17 @@
 
 namespace robinrun {
 
-/// \brief How many calls backend servers make to other services for one call of a class.
+/// \brief Estimates how many nested calls a backend server makes to each other service while it runs one call
+/// of a class.
 ///
-/// A call that runs twice makes them twice; so a retry is paid for at those services as well.
-/// Cost: O(log classes + services called).
+/// A call that runs twice makes its nested calls twice, so a retry is also charged to the retry budgets of
+/// those services. Cost: O(log classes + services called).
 class NestedCallEstimate {
 public:
     using Counts = std::map<std::string, double, std::less<>>; ///< calls by service
     using MeanCounts = std::map<std::string, Ewma, std::less<>>;
 
-    /// \brief A call of \a callClass has run and made the calls in \a counts.
+    /// \brief Records that a run of a call of \a callClass made the nested calls in \a counts.
     void addRun(std::string_view callClass, const Counts& counts)
     {
         auto it = m_meansByClass.find(callClass);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// \returns the mean number of calls by service.
+    /// \returns the mean number of nested calls of a run, by service; empty if no run has been recorded.
     const MeanCounts& meanCounts(std::string_view callClass) const
     {
         static const MeanCounts empty;
--- a/src/Routing/OwnerClock.h
+++ b/src/Routing/OwnerClock.h
@@ -8,33 +8,36 @@
 
 namespace robinrun {
 
-/// \brief Reckons the clock of an owner from its answers, so that a deadline told on that clock is never
-/// early.
+/// \brief Computes an upper bound of an owner's clock from the owner's answers, so that a deadline converted
+/// to that clock is never early.
 ///
-/// What an owner's clock showed when it received a call is the least that it can have shown later, and the
-/// most that it can have shown when the call was sent: each answer gives an upper bound of how far that
-/// clock is ahead, too high by as long as the call was under way. How long the answer was under way, or
-/// waited for its reader, doesn't matter. The least bound of the last one or two half-windows counts; if none
-/// came in that time, the last that did.
-/// Times are in microseconds on two clocks that need no common zero.
-/// Caveats: a deadline told may be late, by the shortest way of a call in the window and by the drift allowed
-/// for since; an owner's restart begins anew. A clock that jumps ahead makes deadlines early by that until
-/// the next answer if that shows it, else for a window. Cost: O(1) each; 80 bytes.
+/// The owner receives a call after this node has sent it. So the owner's clock at receipt, minus this node's
+/// clock at sending, is an upper bound of the lead of the owner's clock. It exceeds the true lead by the
+/// transit time of the call. The transit time of the answer, and its wait to be read, don't matter. The least
+/// bound of the last one or two half-windows is used, or the latest bound if no answer came in that time.
+/// Times are in microseconds. The clocks need no common epoch.
+///
+/// Caveats: a converted deadline may be late, by the least transit time of the calls in the window plus the
+/// drift allowed for since then. A restart of the owner discards the bounds. If the owner's clock jumps
+/// ahead, deadlines are early by the jump until an answer reveals it, or otherwise for a whole window. Cost:
+/// O(1) per operation; 80 bytes of memory.
 class OwnerClock {
 public:
-    /// What the answer to one call tells.
+    /// \brief Times of one call and its answer, on both clocks.
     struct Sample {
         std::uint64_t incarnation = 0; ///< of the owner
-        Instant sent {}; ///< the call, on this node's clock
-        /// On the owner's clock, when it had received the call. If it isn't known, any later moment will do.
+        Instant sent {}; ///< when this node sent the call, on its own clock
+        /// When the owner received the call, on the owner's clock. If that is unknown, any later time is
+        /// valid.
         Instant ownerReceived {};
-        Instant ownerAnswered {}; ///< on the owner's clock
-        Instant answerReceived {}; ///< the answer, on this node's clock
+        Instant ownerAnswered {}; ///< when the owner answered, on the owner's clock
+        Instant answerReceived {}; ///< when this node received the answer, on its own clock
     };
 
-    /// By how much two clocks drift apart at most: what a kernel slews a clock by to set it.
+    /// Maximum drift between two clocks: the rate at which a kernel slews a clock to adjust it.
     static constexpr std::int64_t maxDriftPerMillion = 500;
-    /// Calls that wait for a node of a tenth of a core take 0.2 s, others among the next few don't.
+    /// Long enough to contain a call with a short transit time: a call that waits for a node with a tenth of
+    /// a core takes 0.2 s, but some of the next few calls don't wait.
     static constexpr Duration halfWindow = 10s;
 
     explicit OwnerClock(const Sample& first) { restart(first); }
@@ -57,7 +60,7 @@
             m_currentBound = boundOf(sample);
     }
 
-    /// \returns what the owner's clock shows when this node's shows \a localTime, at most.
+    /// \returns the latest time that the owner's clock can show when this node's clock shows \a localTime.
     Instant upperBoundAt(Instant localTime) const
     {
         const auto current = m_currentBound.upperBoundAt(localTime);
@@ -66,11 +69,12 @@
 
     /// \returns the owner's incarnation.
     std::uint64_t incarnation() const { return m_incarnation; }
-    /// \returns when its last answer came.
+    /// \returns when the owner's last answer was received, on this node's clock.
     Instant lastAnswerTime() const { return m_lastAnswer; }
 
 private:
-    /// That the owner's clock was maxLead by `ahead` at most, once.
+    /// \brief An upper bound of the owner's clock: it was ahead by at most `maxLead` when this node's clock
+    /// showed `measuredAt`.
     struct Bound {
         Duration maxLead {};
         Instant measuredAt {};
@@ -94,8 +98,8 @@
     }
 
     std::uint64_t m_incarnation = 0;
-    Bound m_currentBound; ///< the least of this half-window
-    std::optional<Bound> m_previousBound; ///< of the one before
+    Bound m_currentBound; ///< the least bound of this half-window
+    std::optional<Bound> m_previousBound; ///< the least bound of the half-window before it
     Instant m_currentSince {};
     Instant m_lastAnswer {};
 };
--- a/src/Routing/RemainingTimeEstimate.cpp
+++ b/src/Routing/RemainingTimeEstimate.cpp
@@ -7,10 +7,10 @@
 namespace robinrun {
 namespace {
 
-    /// A call that has taken as long as usual is expected to need this part of it more: work varies by a
-    /// third.
+    /// Least share of the mean work that a running call is expected to need still: the work of a call varies
+    /// by a third.
     constexpr double minRemainingShare = 0.2;
-    /// Before any slow phase was seen to end, they are taken for so long: a common time slice of shared
+    /// Length of a slow phase that is assumed before one has been recorded: a common time slice on shared
     /// hosts.
     constexpr double defaultSlowPhaseSeconds = 0.3;
 
--- a/src/Routing/RemainingTimeEstimate.h
+++ b/src/Routing/RemainingTimeEstimate.h
@@ -10,28 +10,29 @@
 
 namespace robinrun {
 
-/// \brief Estimates when a call that runs will be answered, from the work done on it so far.
+/// \brief Estimates how much longer a running call takes, from the work done on it so far.
 ///
-/// The work that calls of a class take, and the length of slow phases, are learnt. Both are means, so a call
-/// that has already taken longer than usual is expected to need a part of the usual work more.
-/// Cost: O(log classes); about 100 bytes a class.
+/// The estimate learns the mean work of a call of each class and the mean length of the slow phases of
+/// backend servers. Because the work is a mean, a call that has already taken longer is expected to need a
+/// fixed share of the mean more. Cost: O(log classes); about 100 bytes of memory per class.
 class RemainingTimeEstimate {
 public:
-    /// \brief A call of \a callClass ran to its end and took \a work (by a WorkClock).
+    /// \brief Records that a completed call of \a callClass took \a work, measured by a WorkClock.
     void addRun(std::string_view callClass, Duration work);
 
-    /// \brief A slow phase of an upstream was over after \a length.
+    /// \brief Records that a slow phase of an upstream's backend server lasted \a length.
     void addSlowPhase(Duration length) { m_slowPhaseSeconds.add(toSeconds(length)); }
 
-    /// \returns how much longer a call of \a callClass is expected to run after \a completedWork of its work,
-    /// at an upstream that is slowed down by the factor \a slowdown now; zero if nothing is known of the
-    /// class.
+    /// \brief Estimates the time until a running call of \a callClass ends.
+    /// \param completedWork work done on the call so far, measured by a WorkClock.
+    /// \param slowdown factor by which the backend server is slowed down now; 1 if it isn't.
+    /// \returns the expected time; zero if no call of the class has been recorded.
     Duration remainingTime(std::string_view callClass, Duration completedWork, double slowdown) const;
 
 private:
     static constexpr double sampleWeight = 0.05;
 
-    std::map<std::string, Ewma, std::less<>> m_workSecondsByClass; ///< in seconds, by class
+    std::map<std::string, Ewma, std::less<>> m_workSecondsByClass; ///< mean work by class
     Ewma m_slowPhaseSeconds { sampleWeight };
 };
 
--- a/src/Routing/RetryBudget.h
+++ b/src/Routing/RetryBudget.h
@@ -9,19 +9,21 @@
 
 namespace robinrun {
 
-/// \brief What a retry is for, by what is lost without it, the least first.
+/// \brief Priority of a retry, by how much is lost if it is not sent; in ascending order.
 enum class RetryPriority {
-    Outside, ///< of a call from outside, whose caller may come back, or beside one that may be answered
-    Nested, ///< of a call that a run waits for, which has held a slot so far
-    LastNested, ///< the same, if it is likely the last that the run needs
+    /// For a call from outside, whose caller may send it again, or a hedged request, whose first attempt may
+    /// still be answered.
+    Outside,
+    Nested, ///< for a nested call: the run that waits for it has been holding a slot
+    LastNested, ///< for a nested call that is probably the last one of its run
 };
 
-/// \brief Bounds second attempts to a fraction of recent calls, so that overload isn't multiplied.
+/// \brief A retry budget: bounds retries to a fraction of the calls, so that they don't multiply overload.
 ///
-/// Each first attempt earns `fraction` of a retry, up to `burst`; each retry spends one. Over any run of n
-/// first attempts at most burst + fraction x n retries pass, whatever the order. Where there are too few,
-/// those with the highest claim come first: a small budget is empty most of the time, so the next retry that
-/// is earned is kept for them. Cost: O(1).
+/// The budget is a token bucket. Each first attempt earns `fraction` of a token, up to `burst` tokens; each
+/// retry spends one token. So at most burst + fraction x n retries are sent in any sequence with n first
+/// attempts, whatever the order. Because a small budget is empty most of the time, the next token is reserved
+/// for retries of a higher priority if one was denied recently. Cost: O(1).
 class RetryBudget {
 public:
     RetryBudget(double fraction, double burst)
@@ -31,8 +33,8 @@
     {
     }
 
-    /// \brief Changes the bounds. What is saved up stays, as far as the new burst holds it: a change gives
-    /// no retries, however often it comes.
+    /// \brief Changes the bounds. Keeps the saved tokens, up to the new burst, and adds none, so that
+    /// frequent changes don't create retries.
     void setBounds(double fraction, double burst)
     {
         m_retryFraction = fraction;
@@ -40,16 +42,17 @@
         m_tokens = std::min(m_tokens, burst);
     }
 
-    /// \returns the retries that are saved up.
+    /// \returns the number of retries that can be sent now; below 0 if the budget is in debt.
     double savedRetries() const { return m_tokens; }
 
     void recordFirstAttempt() { m_tokens = std::min(m_burst, m_tokens + m_retryFraction); }
 
-    /// \brief Pays for \a n calls that a retry makes here; below 0 takes that back. May leave a debt, which
-    /// first attempts pay off.
+    /// \brief Charges the budget for \a n nested calls that a retry at another service makes here. A negative
+    /// \a n returns tokens. May leave the budget in debt, which later first attempts pay off.
     void charge(double n) { m_tokens = std::min(m_burst, m_tokens - n); }
 
-    /// \returns whether what is saved up is kept for higher claims, one of which went without it lately.
+    /// \returns whether the tokens are reserved for retries of a higher priority than \a priority because one
+    /// was denied recently for lack of tokens.
     bool isReservedForHigher(RetryPriority priority, Instant now) const
     {
         const auto higher = m_lastDenied.begin() + static_cast<std::ptrdiff_t>(priority) + 1;
@@ -57,7 +60,8 @@
             higher, m_lastDenied.end(), [&](const auto& it) { return it && now - *it < reservationTimeout; });
     }
 
-    /// \returns whether a retry may be sent; if so it is spent.
+    /// \brief Spends a token for a retry. \returns false if there is none or it is reserved for higher
+    /// priorities.
     bool trySpend(RetryPriority priority, Instant now)
     {
         if (isReservedForHigher(priority, now))
@@ -71,13 +75,15 @@
     }
 
 private:
-    /// Longer than it takes to earn a retry where many are asked for, and much shorter than a window.
+    /// Longer than it takes to earn a token when many retries are requested, and much shorter than the window
+    /// over which retries are bounded.
     static constexpr Duration reservationTimeout = 1s;
 
     double m_retryFraction;
     double m_burst;
     double m_tokens;
-    std::array<std::optional<Instant>, 3> m_lastDenied; ///< when a claim last went without, by RetryPriority
+    /// When a retry was last denied for lack of tokens, by RetryPriority.
+    std::array<std::optional<Instant>, 3> m_lastDenied;
 };
 
 } // namespace robinrun
--- a/src/Routing/RetryDenial.h
+++ b/src/Routing/RetryDenial.h
@@ -7,12 +7,14 @@
 
 namespace robinrun {
 
-/// \brief Why a call gets no further attempt that counts as a retry.
+/// \brief Why the retry of a call is denied.
 enum class RetryDenial {
-    AttemptsUsed, ///< it has had as many as its request allows
-    OwnBudgetEmpty, ///< its service's budget holds no whole retry
-    HigherPriority, ///< others need the budget more, of its service or of one that its run would call
-    NestedBudgetEmpty, ///< the budget of a service that its run would call is used up
+    AttemptsUsed, ///< the call has used all attempts that its request allows
+    OwnBudgetEmpty, ///< the retry budget of the call's service holds less than one token
+    /// The budget of the service, or of one that its run would call, is reserved for retries of a higher
+    /// priority.
+    HigherPriority,
+    NestedBudgetEmpty, ///< the budget of a service that its run would call is empty or in debt
 };
 
 template <> struct EnumNames<RetryDenial> {
--- a/src/Routing/ServiceRouter.cpp
+++ b/src/Routing/ServiceRouter.cpp
@@ -5,12 +5,13 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::uint32_t sharedBudgetGroup = 0; // pays for retries where groups share them
+    constexpr std::uint32_t sharedBudgetGroup = 0; // key of the retry budget that all groups share
 
-    /// How often errors are judged and pauses ended; decisions between use the last judgement.
+    /// Interval at which ejections are updated and expired pauses ended; choices in between use the last
+    /// result.
     constexpr Duration stateCheckInterval = 20ms;
     constexpr int maxPauseDoublings = 4;
-    /// Work that was never measured is taken for this part of the target latency.
+    /// Slot time of a class without a recorded one, as a share of its target latency.
     constexpr double defaultSlotTimeShare = 0.3;
 
 } // namespace
--- a/src/Routing/ServiceRouter.h
+++ b/src/Routing/ServiceRouter.h
@@ -21,152 +21,167 @@
 
 namespace robinrun {
 
-/// \brief An upstream as the configuration names it to an ingress.
+/// \brief The configuration of an upstream at an ingress.
 struct UpstreamConfig {
     std::string name;
     std::uint32_t slots = 0;
-    Duration roundTrip {}; ///< guess until it is measured
+    Duration roundTrip {}; ///< initial value, until round trips are measured
     bool isFar = false; ///< in another data hall
 };
 
-/// \brief What is known of a call when an upstream is chosen for it.
+/// \brief Properties of a call that matter for the choice of its upstream.
 struct CallProfile {
     std::uint32_t group = 0;
     std::string_view callClass {};
-    Duration remainingTargetLatency {}; ///< what is left of it; 0: none
-    double relativeBytes = 1; ///< of such a call and its answer, over those of a mean call
+    Duration remainingTargetLatency {}; ///< time left until the target latency; 0: the call has no target
+    /// Bytes of a call of its class and the answer, divided by those of a mean call.
+    double relativeBytes = 1;
 };
 
-/// \brief All that one ingress decides about the calls of one service: where to, whether again.
+/// \brief Decides at one ingress to which upstream each call of a service is sent and whether it is retried.
 ///
-/// The node and the policy bench run this same class. No I/O; the present time is an argument.
-/// Cost: pick O(upstreams of the subset); the rest O(1).
+/// The node and the policy benchmark use this class alike. It does no I/O, and callers pass the current time.
+/// Unknown names of upstreams are ignored. Cost: pickUpstream() O(upstreams of the subset); other members
+/// O(1) unless stated otherwise.
 class ServiceRouter {
 public:
     struct Options {
         ChoicePolicyKind policyKind = ChoicePolicyKind::ExpectedDelay;
-        double farLoss = TimelyChoice::Options {}.farLoss; ///< for ChoicePolicyKind::Timely
+        /// For ChoicePolicyKind::Timely; see TimelyChoice::Options.
+        double farLoss = TimelyChoice::Options {}.farLoss;
         Ejection::Options ejection {};
-        bool ejectsOutliers = true; ///< whether upstreams that fail often are left out
-        double retryFraction = 0.1;
-        double retryBurst = 10;
-        bool sharesRetryBudget = false; ///< among all groups, where what a service gets in all is bounded
-        Duration initialLostPause
-            = 1s; ///< how long an upstream whose node doesn't answer is left out at first
-        bool sendsHedges = true; ///< whether late answers are acted upon
-        Duration minHedgeDelay = 5ms; ///< no answer is late before
-        unsigned lateAnswersUntilPause
-            = 3; ///< late answers in a row after which an upstream gets one call at a time
-        Duration leavingTimeout = 5s; ///< after which a leaving upstream is asked again, in case it stayed
+        bool ejectsOutliers = true; ///< whether upstreams with many errors are ejected
+        double retryFraction = 0.1; ///< part of a retry that each first attempt earns
+        double retryBurst = 10; ///< most retries that a budget can save
+        /// Among all groups, when the retries of the whole service are bounded.
+        bool sharesRetryBudget = false;
+        Duration initialLostPause = 1s; ///< first pause of an upstream whose node doesn't answer
+        bool sendsHedges = true; ///< whether an attempt can count as late and lead to a hedged request
+        Duration minHedgeDelay = 5ms; ///< least time after which an attempt is late
+        unsigned lateAnswersUntilPause = 3; ///< consecutive late answers after which an upstream is paused
+        Duration leavingTimeout = 5s; ///< after it a leaving upstream gets calls again, in case it stayed
     };
 
     explicit ServiceRouter(Options options);
 
-    /// \brief Sets the upstreams; those known by name keep what is known of them, new ones start slowly.
+    /// \brief Sets the upstreams. Known upstreams, by name, keep their state. New ones get a slow start,
+    /// except in the first call. Cost: O(upstreams).
     void setUpstreams(const std::vector<UpstreamConfig>& upstreams, Instant now);
 
-    /// \brief Changes the budget of retries; groups keep what they have saved up.
+    /// \brief Sets the part of a retry that each first attempt earns. Saved retries stay. Cost: O(groups).
     void setRetryFraction(double fraction);
 
-    /// \brief Changes how many retries a group may save up.
+    /// \brief Sets the most retries that a budget can save. Cost: O(groups).
     void setRetryBurst(double burst);
 
-    /// \brief Chooses an upstream for a call. \param excluded names already tried.
-    /// \returns its name, or nothing if none is left.
+    /// \brief Chooses an upstream for a call.
+    /// \param excluded names of the upstreams that are not eligible, such as those already tried.
+    /// \returns the name of the upstream; std::nullopt if no upstream is eligible.
     std::optional<std::string> pickUpstream(
         std::span<const std::string> excluded, const CallProfile& profile, Instant now, Random& random);
 
-    /// \brief A call of \a callClass held its slot for \a slotTime, while work took \a slowdown times as
-    /// long.
+    /// \brief Records that a call of \a callClass held its slot for \a slotTime.
+    /// \param slowdown factor by which the backend server was slowed down when the call was sent; 1 if it
+    /// wasn't.
     void recordSlotTime(std::string_view callClass, Duration slotTime, double slowdown);
 
-    /// \returns the usual slot time of \a callClass; a part of \a targetLatency before any was measured.
+    /// \returns the mean slot time of \a callClass on a server without slow-down; a fixed share of \a
+    /// targetLatency if no slot time of the class has been recorded.
     Duration expectedSlotTime(std::string_view callClass, Duration targetLatency) const;
 
-    /// \returns how long a call is expected to take at \a upstream, by the figures of TimelyChoice.
+    /// \returns the expected time from sending a call to \a upstream until its answer arrives, as
+    /// TimelyChoice computes it; zero for an unknown upstream.
     Duration expectedResponseTime(const std::string& upstream, const CallProfile& profile, Instant now);
 
-    /// \brief An answer to a call of \a callClass took \a actual where expectedAt() was \a expected.
+    /// \brief Records the response time \a actual of a call of \a callClass.
+    /// \param expected what expectedResponseTime() returned when the call was sent.
     void recordResponseTime(std::string_view callClass, Duration actual, Duration expected);
 
-    /// \returns the slow-down last told of \a upstream.
+    /// \returns the slow-down of the backend server in the last load report of \a upstream; 1 if there is
+    /// none.
     double reportedSlowdown(const std::string& upstream);
 
-    /// \returns the reading of the clock of the work done at \a upstream; zero if it isn't known.
+    /// \returns the reading of the WorkClock of \a upstream; zero for an unknown upstream.
     Duration workClockReading(const std::string& upstream, Instant now);
 
-    /// \brief A call of \a callClass ran to its end and took \a work by that clock.
+    /// \brief Records that a completed call of \a callClass took \a work, measured by the WorkClock.
     void recordCompletedWork(std::string_view callClass, Duration work)
     {
         m_remainingTime.addRun(callClass, work);
     }
 
-    /// \returns how much longer a call of \a callClass is expected to run at \a upstream after \a
-    /// completedWork of its work; zero if nothing is known.
+    /// \returns the expected time until a call of \a callClass ends at \a upstream when \a completedWork of
+    /// it has been done; zero if the class or the upstream is unknown.
     Duration expectedRemainingTime(
         const std::string& upstream, std::string_view callClass, Duration completedWork);
 
-    /// \brief The owner told its load by itself.
+    /// \brief Takes a load report of the owner. If the backend server is down, pauses the upstream; else
+    /// makes a lost upstream active.
     void onLoadReport(const std::string& upstream, const OwnerReport& report, Instant now);
 
-    /// \brief Whatever kept calls from \a upstream is over: its node lives again.
+    /// \brief Ends any pause of \a upstream and makes it active, for instance because its node is back.
     void reactivate(const std::string& upstream, Instant now);
 
-    /// \brief Counts the first attempt of a call, which earns its group a part of a retry.
+    /// \brief Counts the first attempt of a call, which earns a part of a retry for its group.
     void recordFirstAttempt(std::uint32_t group) { budgetOf(group).recordFirstAttempt(); }
 
-    /// \returns the retries that all groups have saved up.
+    /// \returns the sum of the saved retries of all groups. Cost: O(groups).
     double savedRetries() const;
 
-    /// \returns whether the group may send one more attempt; if so it is spent.
+    /// \brief Spends a retry of the group's budget. \returns false if none is available for \a priority.
     bool trySpendRetry(std::uint32_t group, RetryPriority priority, Instant now)
     {
         return budgetOf(group).trySpend(priority, now);
     }
 
-    /// \returns whether the group's budget is kept for higher claims.
+    /// \returns whether the group's budget is reserved for retries of a higher priority than \a priority.
     bool isRetryReservedForHigher(std::uint32_t group, RetryPriority priority, Instant now)
     {
         return budgetOf(group).isReservedForHigher(priority, now);
     }
 
-    /// \returns whether the group has anything left of its budget, so that another service's retry may make
+    /// \returns whether the group's budget is above 0, so that a retry at another service may make nested
     /// calls here.
     bool hasRetriesLeft(std::uint32_t group) { return budgetOf(group).savedRetries() > 0; }
 
-    /// \brief A retry at another service is going to make \a n calls of \a group here.
+    /// \brief Charges the budget of \a group for \a n nested calls that a retry at another service makes
+    /// here. A negative \a n returns them.
     void chargeRetries(std::uint32_t group, double n) { budgetOf(group).charge(n); }
 
-    /// \brief An attempt goes out. \returns the slot time the group got on the other upstreams since its last
-    /// call to this one: the owner charges it to the group's share.
+    /// \brief Records that an attempt is sent.
+    /// \returns the slot time that the group used on the other upstreams since its last call to this one. The
+    /// owner charges it to the group's share.
     Duration onAttemptSent(const std::string& upstream, std::uint32_t group);
 
-    /// \brief An answer came. \param slotTime slot time of the call; zero if it was refused.
+    /// \brief Records the answer to an attempt. \param slotTime slot time of the call; zero if it was
+    /// refused.
     void onAttemptAnswered(const std::string& upstream, std::uint32_t group, const OwnerReport& report,
         Duration slotTime, bool isFailure, Instant now);
 
-    /// \brief No answer came, or the message could not go out.
+    /// \brief Records that an attempt got no answer or could not be sent. Pauses the upstream as lost.
     void onAttemptLost(const std::string& upstream, std::uint32_t group, Instant now);
 
-    /// \brief How long a whole call took; tells when others are late.
+    /// \brief Records the latency of a whole call, from which hedgeDelay() is derived.
     void recordCallLatency(Duration latency) { m_callLatency.addSample(latency); }
 
-    /// \returns the time after which an attempt is late, and a repeatable call may go elsewhere as well.
+    /// \returns the time after which an attempt is late, so that a hedged request may be sent for a
+    /// repeatable call; std::nullopt without hedging or before enough latencies have been recorded.
     std::optional<Duration> hedgeDelay() const;
 
-    /// \brief An attempt is late; it stays out.
+    /// \brief Records that an attempt is late. It stays in flight. Pauses the upstream after several in a
+    /// row.
     void onAttemptLate(const std::string& upstream, Instant now);
 
-    /// \brief An attempt was given up by this side.
+    /// \brief Records that the ingress gave up an attempt.
     void onAttemptAbandoned(const std::string& upstream, std::uint32_t group);
 
-    /// \brief The owner says whether its upstream is leaving.
+    /// \brief Takes the owner's information whether its upstream is leaving.
     void setLeaving(const std::string& upstream, bool isLeaving, Instant now);
 
-    /// \brief A round trip was measured: total time less queueing and service.
+    /// \brief Records a measured round trip: the response time less queueing and slot time.
     void recordRoundTrip(const std::string& upstream, Duration roundTrip);
 
-    /// \brief Whether owners are worth asking to run calls at once.
+    /// \returns the policy for immediate attempts at the owners of this service.
     ImmediateAttemptPolicy& immediateAttemptPolicy() { return m_immediateAttemptPolicy; }
 
     std::span<const UpstreamView> views() const { return m_views; }
@@ -178,16 +193,17 @@
         Instant until {};
         Duration length {};
     };
-    /// What a group used, for charging use elsewhere.
+    /// \brief Slot time that a group used, to report its use of other upstreams to an owner.
     struct GroupUsage {
         Duration totalSlotTime {};
         std::unordered_map<std::string, Duration> slotTimeByUpstream;
+        /// For each upstream, the slot time on all others when the group's last call was sent to it.
         std::unordered_map<std::string, Duration> elsewhereAtLastSend;
     };
 
     UpstreamView* viewOf(const std::string& name);
     ChoiceInput choiceInputFor(const CallProfile& profile, Instant now) const;
-    /// \brief What is known of the calls of one class.
+    /// \brief Estimates for the calls of one class.
     struct ClassEstimates {
         WorkEstimate work;
         LatenessEstimate lateness;
@@ -197,7 +213,7 @@
     void setRetryBounds(double fraction, double burst);
     void endExpiredPauses(Instant now);
     void pauseLostUpstream(UpstreamView& view, Instant now);
-    /// \returns how long to leave an upstream alone: longer each time until it answers.
+    /// \returns the length of the upstream's next pause, doubled each time until the upstream answers.
     Duration extendPause(const std::string& upstream, Instant now);
     void pauseUpstream(UpstreamView& view, UpstreamState state, Duration length, Instant now);
 
@@ -205,7 +221,7 @@
     ChoicePolicy m_policy;
     LatencyStatistics m_callLatency;
     std::map<std::string, ClassEstimates, std::less<>> m_estimatesByClass;
-    LatenessEstimate m_defaultLateness; ///< of classes without any answer yet
+    LatenessEstimate m_defaultLateness; ///< for classes without a recorded answer
     RemainingTimeEstimate m_remainingTime;
     ImmediateAttemptPolicy m_immediateAttemptPolicy;
     Ejection m_ejection;
--- a/src/Routing/Subset.cpp
+++ b/src/Routing/Subset.cpp
@@ -10,7 +10,7 @@
 namespace robinrun {
 namespace {
 
-    /// Of a hash, as many bits as a double holds exactly.
+    /// Number of leading bits of a hash that are used: as many as a double holds exactly.
     constexpr int usedBits = 53;
     constexpr int unusedBits = 64 - usedBits;
 
@@ -26,7 +26,7 @@
         return order;
     }
 
-    /// \returns the place of \a self on the ring, in [0, 1).
+    /// \returns the position of \a self on the ring, in [0, 1).
     double placeOf(const std::vector<std::string>& names, const std::string& self)
     {
         const auto own = hash64(self);
--- a/src/Routing/UpstreamView.cpp
+++ b/src/Routing/UpstreamView.cpp
@@ -19,7 +19,7 @@
     , m_isFar(isFar)
     , m_failureShare(errorSampleWeight)
 {
-    m_failureShare.add(0); // one failure among few calls is no share of 1
+    m_failureShare.add(0); // so that a first failure doesn't count as a share of 1
 }
 
 void UpstreamView::onAttemptAbandoned(std::uint32_t group)
--- a/src/Routing/UpstreamView.h
+++ b/src/Routing/UpstreamView.h
@@ -16,83 +16,86 @@
 /// \brief Whether an ingress may send new calls to an upstream. Part of the wire format: append only.
 enum class UpstreamState {
     Active,
-    Leaving, ///< drains: nothing new
-    Lost, ///< its node doesn't answer
+    Leaving, ///< it drains and takes no new calls
+    Lost, ///< its node doesn't answer or its backend server is down
 };
 
 template <> struct EnumNames<UpstreamState> {
     static constexpr std::array<std::string_view, 3> names { "active", "leaving", "lost" };
 };
 
-/// \brief What an owner said about its upstream in an answer to a call of one group, and when it was heard.
+/// \brief The state of an upstream as its owner reported it, by itself or in the answer to a call of one
+/// group.
 struct OwnerReport {
-    LoadReport load; ///< `waiting` counts the calls that would go before a new one of the group
-    std::uint32_t callsOfThisIngress
-        = 0; ///< calls in use or waiting that this ingress has sent for the group
-    std::uint32_t queuedCalls = 0; ///< calls waiting, of all groups
+    LoadReport load; ///< its `waiting` counts the waiting calls that run before a new call of the group
+    std::uint32_t callsOfThisIngress = 0; ///< running or waiting calls of the group that this ingress sent
+    std::uint32_t queuedCalls = 0; ///< waiting calls of all groups
     double errorShare = 0; ///< recent share of failed answers, over all callers
-    Instant receivedAt {};
+    Instant receivedAt {}; ///< when this ingress received the report
 };
 
-/// \brief All an ingress knows of one upstream: its own calls exactly, all else as old as the last answer.
+/// \brief The state of one upstream as an ingress knows it: the ingress's own calls exactly, everything else
+/// as of the owner's last report.
 ///
-/// Cost: O(1) a call; about 250 bytes.
+/// Cost: O(1) per call; about 250 bytes of memory.
 class UpstreamView {
 public:
-    /// \param roundTrip network time to the upstream's node and back.
-    /// \param isFar in another data hall: bytes there and back cost more.
+    /// \param roundTrip initial value of the network time to the upstream's node and back.
+    /// \param isFar whether the upstream is in another data hall, to which bytes cost more.
     UpstreamView(std::string name, std::uint32_t slots, Duration roundTrip, bool isFar = false);
 
-    /// \brief A call was sent.
+    /// \brief Records that an attempt of a call of \a group was sent.
     void onAttemptSent(std::uint32_t group)
     {
         ++m_inFlight;
         ++m_loadByGroup[group].inFlight;
     }
 
-    /// \brief An answer came, with the owner's news; \a isFailure for answers that failed at the backend
-    /// server. \returns as heard().
+    /// \brief Records the answer to an attempt, with the owner's report.
+    /// \param isFailure whether the call failed at the backend server.
+    /// \returns the same as onLoadReport().
     std::optional<Duration> onAttemptAnswered(
         std::uint32_t group, const OwnerReport& report, bool isFailure, Instant now);
 
-    /// \brief The owner tells its load, by itself or with an answer.
-    /// \returns the length of the slow phase that has ended with this; nothing if none has.
+    /// \brief Stores a load report, which the owner sent by itself or with an answer.
+    /// \returns the length of the slow phase that ends with the report; std::nullopt if none ends.
     std::optional<Duration> onLoadReport(const OwnerReport& report)
     {
         m_report = report;
         return m_workClock.told(report.load.slowdown, report.receivedAt);
     }
 
-    /// \returns how long a call that is sent now waits there because the server is cold and gets its calls at
-    /// a pace; zero if it doesn't. Calls that were sent since the last news go before it.
+    /// \returns how long a call that is sent now waits because the backend server is cold and the owner paces
+    /// its calls; zero if it doesn't. Includes the wait for the calls that were sent since the last report.
     Duration coldStartWait(Instant now) const;
 
-    /// \returns the clock of the work that a call gets done there.
+    /// \returns the clock that measures the work done on a call at this upstream.
     const WorkClock& workClock() const { return m_workClock; }
 
-    /// \brief No answer came in time, or the node is gone.
+    /// \brief Records that an attempt got no answer or could not be sent. Counts as a failure.
     void onAttemptLost(std::uint32_t group, Instant now);
 
-    /// \brief This side gave an attempt up; nothing is learnt from it.
+    /// \brief Records that the ingress gave up an attempt. Doesn't count as a failure.
     void onAttemptAbandoned(std::uint32_t group);
 
-    /// \brief A round trip was measured; it replaces the guess bit by bit.
+    /// \brief Adds a measured round trip to the moving average, which starts from the initial value.
     void addRoundTripSample(Duration roundTrip) { m_roundTrip += (roundTrip - m_roundTrip) / 8; }
 
-    /// \brief An answer is late. \returns how many have been since the last answer of any kind.
+    /// \brief Counts a late answer. \returns the number of late answers since the last answer that arrived.
     unsigned countLateAnswer() { return ++m_consecutiveLateAnswers; }
 
-    /// \brief After a silence: one call at a time, until an answer comes.
+    /// \brief Limits the upstream to one call in flight until an answer arrives.
     void startTrial() { m_isOnTrial = true; }
 
-    /// \brief Leaves it out until \a end while there are others, then gives it one call at a time.
+    /// \brief Makes the upstream unavailable until \a end, then limits it to one call in flight.
     void pauseUntil(Instant end)
     {
         m_pausedUntil = end;
         startTrial();
     }
 
-    /// \returns whether it is worth a new call now. One that isn't is still used when there is no other.
+    /// \returns whether the upstream may get a new call now. If no upstream is available, unavailable ones
+    /// are used anyway.
     bool isAvailable(Instant now) const
     {
         return m_state == UpstreamState::Active && now >= m_pausedUntil && !(m_isOnTrial && m_inFlight > 0);
@@ -102,7 +105,7 @@
     void setSlots(std::uint32_t slots) { m_slots = slots; }
     void setFar(bool isFar) { m_isFar = isFar; }
 
-    /// \brief Starts the slow start: the upstream is cold from \a now on.
+    /// \brief Begins a slow start at \a now.
     void restartSlowStart(Instant now) { m_slowStartBegin = now; }
 
     const std::string& name() const { return m_name; }
@@ -110,19 +113,21 @@
     Duration roundTrip() const { return m_roundTrip; }
     bool isFar() const { return m_isFar; }
     std::uint32_t inFlight() const { return m_inFlight; }
-    /// \returns own calls of one group that are out.
+    /// \returns the calls of one group in flight from this ingress.
     std::uint32_t inFlightOf(std::uint32_t group) const;
     UpstreamState state() const { return m_state; }
     const std::optional<OwnerReport>& report() const { return m_report; }
 
-    /// \returns calls of others that a new call of \a group would have to share with or wait for, as last
-    /// reported.
+    /// \returns the number of other ingresses' calls, from the last report, that a new call of \a group would
+    /// share the slots with or wait for.
     double reportedOtherCalls(std::uint32_t group) const;
 
-    /// \returns the larger of the own and the reported share of failures, old news counting less.
+    /// \returns the share of failures that this ingress observed or the one that the owner reported,
+    /// whichever is larger. Both decay with their age.
     double errorShare(Instant now) const;
 
-    /// \returns the part of its slots, in (0, 1], to count on while it warms up over \a slowStartDuration.
+    /// \returns the share of the slots, in (0, 1], to use during a slow start of \a slowStartDuration; 1
+    /// after it.
     double usableSlotShare(Duration slowStartDuration, Instant now) const;
 
 private:
--- a/src/Routing/WeightedRoundRobin.h
+++ b/src/Routing/WeightedRoundRobin.h
@@ -11,22 +11,23 @@
 
 namespace robinrun {
 
-/// \brief Deals the calls of split routes out by weight: smooth weighted round robin.
+/// \brief Distributes the calls of split routes over their targets by weight, with smooth weighted round
+/// robin.
 ///
-/// Of any n calls of one route each of two parts gets its share to within one call. A changed split starts
-/// anew, each node at another point of the sequence: where many nodes see few calls each, the first of all
-/// of them would go to the largest part otherwise.
-/// Cost: O(parts); the first call of a split up to 1,000 times as much.
+/// With two targets, each gets its share of any n calls of a route to within one call. A new or changed split
+/// starts at a random position of the sequence. If all nodes started at the same position and saw few calls
+/// each, most calls would go to the target with the largest weight. Cost: O(targets); for the first call of a
+/// split up to 1,000 times as much.
 class WeightedRoundRobin {
 public:
-    using Split = std::vector<std::pair<std::string, double>>;
+    using Split = std::vector<std::pair<std::string, double>>; ///< targets and their weights
 
     explicit WeightedRoundRobin(std::uint64_t seed)
         : m_random(seed)
     {
     }
 
-    /// \returns the part of \a split whose turn it is; "" if there is none.
+    /// \returns the target of the next call of \a route; "" if \a split is empty.
     std::string nextTarget(const std::string& route, const Split& split)
     {
         if (split.size() <= 1)
@@ -41,7 +42,7 @@
     }
 
 private:
-    /// Weights in steps of a thousandth repeat after so many turns at most.
+    /// The sequence repeats after at most this many calls if the weights are multiples of a thousandth.
     static constexpr std::size_t maxSequenceLength = 1000;
 
     struct RouteState {
@@ -49,7 +50,7 @@
         std::vector<double> currentWeights;
     };
 
-    /// \returns the place of the part whose turn it is.
+    /// \brief Advances the sequence by one call. \returns the index of the target that gets the call.
     static std::size_t advance(RouteState& state)
     {
         double totalWeight = 0;
--- a/test/ImmediateAttemptPolicyTest.cpp
+++ b/test/ImmediateAttemptPolicyTest.cpp
@@ -6,40 +6,41 @@
 
 namespace {
 
-constexpr std::uint32_t most = 2;
+constexpr std::uint32_t maxAttempts = 2;
 
-/// \returns the share of \a n calls that ask.
-double askingShare(const ImmediateAttemptPolicy& worth, Random& random, int n = 2000)
+/// \returns the share of \a n calls that make immediate attempts.
+double attemptingShare(const ImmediateAttemptPolicy& policy, Random& random, int n = 2000)
 {
-    int asking = 0;
+    int attempting = 0;
     for (int i = 0; i < n; ++i)
-        asking += worth.attemptsForNextCall(most, random) ? 1 : 0;
-    return double(asking) / n;
+        attempting += policy.attemptsForNextCall(maxAttempts, random) ? 1 : 0;
+    return double(attempting) / n;
 }
 
 } // namespace
 
-TEST_CASE("While most owners that are asked are free, every call asks", "[routing]")
+TEST_CASE("Every call makes immediate attempts while most attempts find a free slot", "[routing]")
 {
     Random random(1);
-    ImmediateAttemptPolicy worth;
-    REQUIRE(askingShare(worth, random) == 1);
+    ImmediateAttemptPolicy policy;
+    REQUIRE(attemptingShare(policy, random) == 1);
     for (int i = 0; i < 200; ++i)
-        worth.recordAnswer(random.chance(0.4));
-    REQUIRE(askingShare(worth, random) == 1);
+        policy.recordAnswer(random.chance(0.4));
+    REQUIRE(attemptingShare(policy, random) == 1);
 }
 
-TEST_CASE("With more calls than slots, few calls ask, and all do soon after there is room again", "[routing]")
+TEST_CASE(
+    "With more calls than slots, few calls make immediate attempts until slots are free again", "[routing]")
 {
     Random random(2);
-    ImmediateAttemptPolicy worth;
+    ImmediateAttemptPolicy policy;
     for (int i = 0; i < 40; ++i)
-        worth.recordAnswer(true);
-    const double share = askingShare(worth, random);
+        policy.recordAnswer(true);
+    const double share = attemptingShare(policy, random);
     REQUIRE(share > 0.05);
     REQUIRE(share < 0.15);
-    // The few that ask find room: two calls in three ask again within some ten of them.
+    // Ten answers of free owners in a row make every call try again.
     for (int i = 0; i < 10; ++i)
-        worth.recordAnswer(false);
-    REQUIRE(askingShare(worth, random) == 1);
+        policy.recordAnswer(false);
+    REQUIRE(attemptingShare(policy, random) == 1);
 }
--- a/test/OwnerClockTest.cpp
+++ b/test/OwnerClockTest.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <vector>
 
-/// \file The deadline that an ingress tells an owner on the owner's clock is never early, and hardly late.
+/// \file The deadline that an ingress sends on the owner's clock is never early and at most slightly late.
 
 using namespace robinrun;
 using support::hostOf;
@@ -17,54 +17,56 @@
 
 constexpr std::int64_t million = 1'000'000;
 
-/// \brief An owner's clock as it is.
-struct TrueClock {
-    Duration ahead {};
+/// \brief An owner's clock, with a lead and a drift relative to the ingress's clock.
+struct SimulatedClock {
+    Duration lead {};
     std::int64_t driftPerMillion = 0;
-    Instant began {};
+    Instant start {};
 
-    Instant at(Instant then) const
+    Instant at(Instant localTime) const
     {
-        return then + ahead + Duration((then - began).count() * driftPerMillion / million);
+        return localTime + lead + Duration((localTime - start).count() * driftPerMillion / million);
     }
 };
 
-/// \brief One call, as both clocks saw it.
-struct Heard {
+/// \brief One call with its times on both clocks.
+struct ObservedCall {
     OwnerClock::Sample sample;
-    std::size_t life = 0;
-    Duration way {}; ///< from when it was sent until when its owner had it, as far as the sample tells
+    std::size_t clockIndex = 0;
+    Duration transitTime {}; ///< from sending the call until the reported receipt at its owner
 };
 
-Duration any(std::int64_t least, std::int64_t most)
+Duration randomDuration(std::int64_t low, std::int64_t high)
 {
-    return Duration(*rc::gen::inRange<std::int64_t>(least, most));
+    return Duration(*rc::gen::inRange<std::int64_t>(low, high));
 }
 
-/// \returns calls to an owner that restarts now and then, in the order in which their answers were heard.
-std::vector<Heard> playCalls(std::vector<TrueClock>& lives)
+/// \brief Simulates calls to an owner that restarts at random times, each time with a new clock in \a clocks.
+/// \returns the calls, ordered by clock and by when their answers were received.
+std::vector<ObservedCall> simulateCalls(std::vector<SimulatedClock>& clocks)
 {
-    constexpr std::int64_t longestGap = 4 * million;
-    std::vector<Heard> out;
+    constexpr std::int64_t maxGap = 4 * million;
+    std::vector<ObservedCall> out;
     Instant now { 100s };
     for (int i = 0; i < 60; ++i) {
-        now += any(0, longestGap);
-        if (lives.empty() || *rc::gen::inRange(0, 20) == 0)
-            lives.push_back({ any(-50 * million, 50 * million),
+        now += randomDuration(0, maxGap);
+        if (clocks.empty() || *rc::gen::inRange(0, 20) == 0)
+            clocks.push_back({ randomDuration(-50 * million, 50 * million),
                 *rc::gen::inRange<std::int64_t>(
                     -OwnerClock::maxDriftPerMillion + 1, OwnerClock::maxDriftPerMillion),
                 now });
-        const auto& clock = lives.back();
-        const auto received = now + any(20, million / 5);
-        const auto answered = received + any(0, million);
-        const bool isKnown = *rc::gen::inRange(0, 4) != 0;
-        const auto told = isKnown ? received : answered;
-        const auto heard = answered + any(20, million / 2);
-        out.push_back({ { lives.size(), now, clock.at(told), clock.at(answered), heard }, lives.size() - 1,
-            told - now });
+        const auto& clock = clocks.back();
+        const auto received = now + randomDuration(20, million / 5);
+        const auto answered = received + randomDuration(0, million);
+        const bool isReceiptKnown = *rc::gen::inRange(0, 4) != 0;
+        const auto reportedReceipt = isReceiptKnown ? received : answered;
+        const auto answerReceived = answered + randomDuration(20, million / 2);
+        out.push_back({ { clocks.size(), now, clock.at(reportedReceipt), clock.at(answered), answerReceived },
+            clocks.size() - 1, reportedReceipt - now });
     }
     std::stable_sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
-        return std::pair(a.life, a.sample.heard) < std::pair(b.life, b.sample.heard);
+        return std::pair(a.clockIndex, a.sample.answerReceived)
+            < std::pair(b.clockIndex, b.sample.answerReceived);
     });
     return out;
 }
@@ -83,17 +85,17 @@
     return Instant(Duration(static_cast<std::int64_t>(call.owner_deadline_us())));
 }
 
-constexpr Duration ownersLead = 1h; ///< of the owners' clocks over that of the ingress
-constexpr Duration allowed = 3s; ///< the service's deadline
+constexpr Duration ownerClockLead = 1h; ///< of the owners' clocks over the ingress's clock
+constexpr Duration serviceDeadline = 3s;
 
 } // namespace
 
-TEST_CASE("A deadline told on an owner's clock is never early, and late by the shortest way at most",
+TEST_CASE("A deadline on an owner's clock is never early, and late by at most the least transit time",
     "[owner-clock]")
 {
-    rc::prop("calls, drift and restarts", [] {
-        std::vector<TrueClock> lives;
-        const auto calls = playCalls(lives);
+    rc::prop("for any calls, drift and restarts", [] {
+        std::vector<SimulatedClock> clocks;
+        const auto calls = simulateCalls(clocks);
         std::optional<OwnerClock> clock;
         for (std::size_t i = 0; i < calls.size(); ++i) {
             const auto& sample = calls[i].sample;
@@ -101,89 +103,91 @@
                 clock.emplace(sample);
             clock->addSample(sample);
             RC_ASSERT(clock->incarnation() == sample.incarnation);
-            const auto deadline = sample.answerReceived + any(0, 5 * million);
-            const auto told = clock->upperBoundAt(deadline);
-            const auto truth = lives[calls[i].life].at(deadline);
-            RC_ASSERT(told >= truth);
+            const auto deadline = sample.answerReceived + randomDuration(0, 5 * million);
+            const auto bound = clock->upperBoundAt(deadline);
+            const auto trueTime = clocks[calls[i].clockIndex].at(deadline);
+            RC_ASSERT(bound >= trueTime);
             for (std::size_t j = 0; j <= i; ++j) {
                 const bool isInWindow
                     = sample.answerReceived - calls[j].sample.answerReceived < OwnerClock::halfWindow;
-                if (calls[j].life != calls[i].life || !isInWindow)
+                if (calls[j].clockIndex != calls[i].clockIndex || !isInWindow)
                     continue;
                 const auto age = (deadline - calls[j].sample.sent).count();
                 const Duration drift(2 * OwnerClock::maxDriftPerMillion * age / million + 3);
-                RC_ASSERT(told <= truth + calls[j].way + drift);
+                RC_ASSERT(bound <= trueTime + calls[j].transitTime + drift);
             }
         }
     });
 }
 
-TEST_CASE("A clock that was reckoned too low is set right by the first answer that shows it", "[owner-clock]")
+TEST_CASE("The first answer that shows a bound to be too low corrects it", "[owner-clock]")
 {
-    constexpr Duration way = 1ms;
-    constexpr Duration jump = 700ms; // this node's clock stood still for so long
+    constexpr Duration transitTime = 1ms;
+    constexpr Duration jump = 700ms; // as if this node's clock had stood still for this time
     const Instant sent { 100s };
-    OwnerClock clock({ 1, sent, sent + way, sent + way, sent + 2 * way });
+    OwnerClock clock({ 1, sent, sent + transitTime, sent + transitTime, sent + 2 * transitTime });
     REQUIRE(clock.upperBoundAt(sent + 1s) < sent + 1s + jump);
     const auto later = sent + 1s;
-    clock.addSample({ 1, later, later + jump + way, later + jump + way, later + 2 * way });
+    clock.addSample(
+        { 1, later, later + jump + transitTime, later + jump + transitTime, later + 2 * transitTime });
     REQUIRE(clock.upperBoundAt(later + 1s) >= later + 1s + jump);
 }
 
-// Guards against runs that were broken off before their deadlines, because an answer that told the owner's
-// clock had waited for its reader.
-TEST_CASE("An answer that was read late makes no later deadline early", "[owner-clock]")
+// Guards against runs that are cancelled before their deadlines because the answer with the owner's clock
+// waited to be read.
+TEST_CASE("An answer that is read late doesn't make later deadlines early", "[owner-clock]")
 {
     IngressFixture f;
     constexpr Duration wait = 150ms;
-    bool isTold = false;
-    for (int i = 0; i < 4 && !isTold; ++i) {
+    bool hasOwnerDeadline = false;
+    for (int i = 0; i < 4 && !hasOwnerDeadline; ++i) {
         const auto before = monotonicNow() + f.ahead;
         const auto call = f.call("/s/x");
         const auto after = monotonicNow() + f.ahead;
-        isTold = call.owner_deadline_us() != 0;
-        if (isTold) {
-            REQUIRE(deadlineOf(call) >= before + ownersLead + allowed);
-            REQUIRE(deadlineOf(call) <= after + ownersLead + allowed + 100ms);
+        hasOwnerDeadline = call.owner_deadline_us() != 0;
+        if (hasOwnerDeadline) {
+            REQUIRE(deadlineOf(call) >= before + ownerClockLead + serviceDeadline);
+            REQUIRE(deadlineOf(call) <= after + ownerClockLead + serviceDeadline + 100ms);
         }
-        const auto answer = answerAt(call, after + ownersLead);
+        const auto answer = answerAt(call, after + ownerClockLead);
         f.ahead += wait;
         f.give(hostOf(call), answer);
         REQUIRE(f.outcome() == "answered");
     }
-    REQUIRE(isTold);
+    REQUIRE(hasOwnerDeadline);
 }
 
-TEST_CASE("Time that a call spent at its owner makes no later deadline late", "[owner-clock]")
+TEST_CASE("The time that a call spends at its owner doesn't make later deadlines late", "[owner-clock]")
 {
     IngressFixture f;
     constexpr Duration held = 400ms;
-    bool isTold = false;
-    for (int i = 0; i < 4 && !isTold; ++i) {
+    bool hasOwnerDeadline = false;
+    for (int i = 0; i < 4 && !hasOwnerDeadline; ++i) {
         const auto call = f.call("/s/x");
         const auto after = monotonicNow() + f.ahead;
-        isTold = call.owner_deadline_us() != 0;
-        if (isTold)
-            REQUIRE(deadlineOf(call) <= after + ownersLead + allowed + 100ms);
+        hasOwnerDeadline = call.owner_deadline_us() != 0;
+        if (hasOwnerDeadline)
+            REQUIRE(deadlineOf(call) <= after + ownerClockLead + serviceDeadline + 100ms);
         f.ahead += held;
-        f.give(hostOf(call), answerAt(call, after + ownersLead + held, held / 4, held - held / 4));
+        f.give(hostOf(call), answerAt(call, after + ownerClockLead + held, held / 4, held - held / 4));
         REQUIRE(f.outcome() == "answered");
     }
-    REQUIRE(isTold);
+    REQUIRE(hasOwnerDeadline);
 }
 
-// Guards against a run broken off early, because the call that began it was there before the one that was
-// answered.
-TEST_CASE("The answer to a call that joined another one's run makes no later deadline early", "[owner-clock]")
+// Guards against runs that are cancelled early. The owner started the run for an earlier call, so the times
+// in the answer reach back to before the owner received the answered call.
+TEST_CASE(
+    "The answer to a call that joined another call's run doesn't make later deadlines early", "[owner-clock]")
 {
     IngressFixture f;
     const Ticket ticket { "u1", 5, 0, { 1, 2 } };
     const HttpHeaders headers { { "Robinrun-Ticket", ticket.text() } };
     const auto joined = f.call("/s/buy", headers);
-    f.give(hostOf(joined), answerAt(joined, monotonicNow() + ownersLead, 100ms, 300ms));
+    f.give(hostOf(joined), answerAt(joined, monotonicNow() + ownerClockLead, 100ms, 300ms));
     REQUIRE(f.outcome() == "answered");
     const auto before = monotonicNow();
     const auto call = f.call("/s/buy", headers);
     REQUIRE(call.owner_deadline_us());
-    REQUIRE(deadlineOf(call) >= before + ownersLead + allowed);
+    REQUIRE(deadlineOf(call) >= before + ownerClockLead + serviceDeadline);
 }
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint32_t group = 1;
 
-std::vector<UpstreamConfig> targets(int n)
+std::vector<UpstreamConfig> upstreamConfigs(int n)
 {
     std::vector<UpstreamConfig> out;
     for (int i = 0; i < n; ++i)
@@ -23,17 +23,17 @@
     return out;
 }
 
-OwnerReport report(std::uint32_t inUse, Duration service, Instant heard, double errors = 0)
+OwnerReport ownerReport(std::uint32_t inUse, Duration service, Instant receivedAt, double errorShare = 0)
 {
     OwnerReport out;
     out.load = { 12, inUse, 0, service };
-    out.errorShare = errors;
-    out.receivedAt = heard;
+    out.errorShare = errorShare;
+    out.receivedAt = receivedAt;
     return out;
 }
 
-/// \brief Sends \a n calls together and gives them up again. \returns how many went to each.
-std::map<std::string, int> spread(ServiceRouter& router, int n, Instant now, Random& random)
+/// \brief Sends \a n concurrent calls and then abandons them. \returns the number of calls to each upstream.
+std::map<std::string, int> countPicks(ServiceRouter& router, int n, Instant now, Random& random)
 {
     std::map<std::string, int> counts;
     for (int i = 0; i < n; ++i) {
@@ -41,8 +41,8 @@
         router.onAttemptSent(name, group);
         ++counts[name];
     }
-    for (const auto& [name, sent] : counts) {
-        for (int i = 0; i < sent; ++i)
+    for (const auto& [name, picks] : counts) {
+        for (int i = 0; i < picks; ++i)
             router.onAttemptAbandoned(name, group);
     }
     return counts;
@@ -50,11 +50,11 @@
 
 } // namespace
 
-TEST_CASE("Own calls in flight spread an ingress's calls evenly", "[routing]")
+TEST_CASE("An ingress spreads concurrent calls evenly over equal upstreams", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(4), {});
+    router.setUpstreams(upstreamConfigs(4), {});
     std::map<std::string, int> counts;
     for (int i = 0; i < 40; ++i) {
         const auto name = *router.pickUpstream({}, { group }, {}, random);
@@ -65,18 +65,19 @@
         REQUIRE(n == 10);
 }
 
-TEST_CASE("Ingresses with the same good news don't all follow it", "[routing]")
+TEST_CASE("Ingresses with the same load reports don't all choose the same upstream", "[routing]")
 {
-    // Four idle-looking upstreams, twenty ingresses, two calls each: no upstream may get more than its slots.
+    // Twenty ingresses send two calls each to four half-loaded upstreams, one of which reports a slightly
+    // lower load. No upstream may get more than 24 of the 40 calls.
     std::map<std::string, int> counts;
     for (int ingress = 0; ingress < 20; ++ingress) {
         ServiceRouter router({});
         Random random(static_cast<std::uint64_t>(ingress));
-        router.setUpstreams(targets(4), {});
+        router.setUpstreams(upstreamConfigs(4), {});
         for (int i = 0; i < 4; ++i) {
             router.onAttemptSent("u" + std::to_string(i), group);
             router.onAttemptAnswered(
-                "u" + std::to_string(i), group, report(i == 0 ? 5 : 6, 10ms, {}), 10ms, false, {});
+                "u" + std::to_string(i), group, ownerReport(i == 0 ? 5 : 6, 10ms, {}), 10ms, false, {});
         }
         for (int i = 0; i < 2; ++i) {
             const auto name = *router.pickUpstream({}, { group }, Instant(20ms), random);
@@ -88,44 +89,44 @@
         REQUIRE(n <= 24);
 }
 
-TEST_CASE("A slow upstream is left alone, and old news of it counts less and less", "[routing]")
+TEST_CASE("A slow upstream gets no calls until its report is old", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(4), {});
+    router.setUpstreams(upstreamConfigs(4), {});
     for (int i = 0; i < 4; ++i) {
         const auto name = "u" + std::to_string(i);
         router.onAttemptSent(name, group);
-        router.onAttemptAnswered(name, group, report(3, i == 0 ? 100ms : 10ms, {}), 10ms, false, {});
+        router.onAttemptAnswered(name, group, ownerReport(3, i == 0 ? 100ms : 10ms, {}), 10ms, false, {});
     }
-    REQUIRE(spread(router, 12, Instant(1ms), random)["u0"] == 0);
-    REQUIRE(spread(router, 12, Instant(60s), random)["u0"] == 3);
+    REQUIRE(countPicks(router, 12, Instant(1ms), random)["u0"] == 0);
+    REQUIRE(countPicks(router, 12, Instant(60s), random)["u0"] == 3);
 }
 
-TEST_CASE("A fast error is not a fast server: it is ejected, for longer each time", "[routing]")
+TEST_CASE("An upstream that fails fast is ejected for a limited time", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(4), {});
+    router.setUpstreams(upstreamConfigs(4), {});
     Instant now {};
     for (int i = 0; i < 10; ++i) {
         router.onAttemptSent("u0", group);
-        router.onAttemptAnswered("u0", group, report(0, 1ms, now, 1), 0ms, true, now);
+        router.onAttemptAnswered("u0", group, ownerReport(0, 1ms, now, 1), 0ms, true, now);
     }
-    REQUIRE(spread(router, 100, now + 30ms, random)["u0"] == 0);
+    REQUIRE(countPicks(router, 100, now + 30ms, random)["u0"] == 0);
     REQUIRE(router.ejection().isEjected(0, now + 30ms));
     REQUIRE_FALSE(router.ejection().isEjected(0, now + 1100ms));
 }
 
-TEST_CASE("No more than half are ejected, and when most look bad all are tried", "[routing]")
+TEST_CASE("At most half of the upstreams are ejected, and at least half are candidates", "[routing]")
 {
-    rc::prop("cap and panic hold for any pattern of errors", [](const std::vector<bool>& bad) {
+    rc::prop("for any pattern of failing upstreams", [](const std::vector<bool>& bad) {
         RC_PRE(!bad.empty());
         std::vector<UpstreamView> views;
         for (std::size_t i = 0; i < bad.size(); ++i) {
             views.emplace_back("u" + std::to_string(i), 12, 1ms);
             for (int k = 0; k < 5; ++k)
-                views.back().onAttemptAnswered(group, report(0, 1ms, {}, bad[i]), bad[i], {});
+                views.back().onAttemptAnswered(group, ownerReport(0, 1ms, {}, bad[i]), bad[i], {});
         }
         Ejection ejection({});
         ejection.update(views, {});
@@ -136,15 +137,15 @@
     });
 }
 
-TEST_CASE("A lost upstream gets one call at a time until it answers", "[routing]")
+TEST_CASE("A lost upstream gets no calls during its pause, then one at a time until it answers", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(2), {});
+    router.setUpstreams(upstreamConfigs(2), {});
     Instant now {};
     router.onAttemptSent("u0", group);
     router.onAttemptLost("u0", group, now);
-    REQUIRE(spread(router, 50, now + 500ms, random)["u0"] == 0);
+    REQUIRE(countPicks(router, 50, now + 500ms, random)["u0"] == 0);
     now += 1100ms;
     std::map<std::string, int> counts;
     for (int i = 0; i < 50; ++i) {
@@ -153,15 +154,16 @@
         ++counts[name];
     }
     REQUIRE(counts["u0"] == 1);
-    router.onAttemptAnswered("u0", group, report(0, 10ms, now), 10ms, false, now);
-    REQUIRE(spread(router, 50, now + 10s, random)["u0"] > 0);
+    router.onAttemptAnswered("u0", group, ownerReport(0, 10ms, now), 10ms, false, now);
+    REQUIRE(countPicks(router, 50, now + 10s, random)["u0"] > 0);
 }
 
-TEST_CASE("When all upstreams are lost they are tried all the same, but none that leaves", "[routing]")
+TEST_CASE(
+    "If all upstreams are lost or leaving, the lost ones are used and the leaving ones are not", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(3), {});
+    router.setUpstreams(upstreamConfigs(3), {});
     for (const std::string it : { "u0", "u1" }) {
         router.onAttemptSent(it, group);
         router.onAttemptLost(it, group, {});
@@ -175,27 +177,27 @@
     REQUIRE_FALSE(router.pickUpstream(both, { group }, {}, random));
 }
 
-TEST_CASE("A leaving upstream gets nothing, until it stays after all or a while has passed", "[routing]")
+TEST_CASE("A leaving upstream gets no calls until it stops leaving or the timeout has passed", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(2), {});
+    router.setUpstreams(upstreamConfigs(2), {});
     router.setLeaving("u0", true, {});
-    REQUIRE(spread(router, 50, Instant(1s), random)["u0"] == 0);
+    REQUIRE(countPicks(router, 50, Instant(1s), random)["u0"] == 0);
     router.setLeaving("u0", false, Instant(1s));
-    REQUIRE(spread(router, 50, Instant(10s), random)["u0"] > 0);
+    REQUIRE(countPicks(router, 50, Instant(10s), random)["u0"] > 0);
     router.setLeaving("u0", true, Instant(10s));
-    REQUIRE(spread(router, 50, Instant(16s), random)["u0"] > 0);
+    REQUIRE(countPicks(router, 50, Instant(16s), random)["u0"] > 0);
 }
 
-TEST_CASE("What a group used elsewhere is told once, to the owner it is sent to", "[routing]")
+TEST_CASE("The slot time that a group used on other upstreams is reported once to each owner", "[routing]")
 {
     ServiceRouter router({});
-    router.setUpstreams(targets(2), {});
+    router.setUpstreams(upstreamConfigs(2), {});
     REQUIRE(router.onAttemptSent("u0", group) == 0us);
-    router.onAttemptAnswered("u0", group, report(0, 10ms, {}), 10ms, false, {});
-    REQUIRE(router.onAttemptSent("u1", group) == 0us); // the first call to it has no earlier one
-    router.onAttemptAnswered("u1", group, report(0, 10ms, {}), 7ms, false, {});
+    router.onAttemptAnswered("u0", group, ownerReport(0, 10ms, {}), 10ms, false, {});
+    REQUIRE(router.onAttemptSent("u1", group) == 0us); // no earlier call to u1 to count from
+    router.onAttemptAnswered("u1", group, ownerReport(0, 10ms, {}), 7ms, false, {});
     REQUIRE(router.onAttemptSent("u0", group) == 7ms);
     REQUIRE(router.onAttemptSent("u0", group) == 0us);
     REQUIRE(router.onAttemptSent("u1", group) == 0us);
@@ -205,64 +207,64 @@
 {
     rc::prop("in any order", [](const std::vector<bool>& isRetry) {
         RetryBudget budget(0.1, 3);
-        double first = 0;
+        double firstAttempts = 0;
         double retries = 0;
         for (const bool it : isRetry) {
             if (it) {
                 retries += budget.trySpend(RetryPriority::Outside, {});
             } else {
                 budget.recordFirstAttempt();
-                ++first;
+                ++firstAttempts;
             }
-            RC_ASSERT(retries <= 3 + 0.1 * first + 1e-9);
+            RC_ASSERT(retries <= 3 + 0.1 * firstAttempts + 1e-9);
         }
     });
 }
 
-TEST_CASE("Retries of all nodes stay inside the bound of the deployment while nodes start anew", "[routing]")
+TEST_CASE("Retries of all nodes stay within the bound of the deployment while nodes restart", "[routing]")
 {
-    rc::prop("whoever spends", [] {
-        enum class Step { Request, Retry, GiveBack, Start };
+    rc::prop("for any sequence of calls, retries and restarts", [] {
+        enum class Step { Request, Retry, ReturnRetry, Restart };
         const auto nodes = *rc::gen::inRange<std::size_t>(1, 12);
         const double ratio = *rc::gen::inRange(0, 50) / 100.0;
         const double slack = static_cast<double>(nodes) * *rc::gen::inRange(2, 8);
-        const auto fresh = [&] { return RetryBudget(nodeRetryFraction(ratio), minRetryBurst); };
+        const auto newBudget = [&] { return RetryBudget(nodeRetryFraction(ratio), minRetryBurst); };
         std::vector<RetryBudget> budgets;
         for (std::size_t i = 0; i < nodes; ++i)
             budgets.emplace_back(nodeRetryFraction(ratio), nodeRetryBurst(slack, nodes));
-        std::vector<bool> hasStarted(nodes);
+        std::vector<bool> hasRestarted(nodes);
         std::vector<double> pending(nodes);
         const auto steps = *rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
             rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange<std::size_t>(0, nodes)));
         double requests = 0;
-        double arrivals = 0;
-        for (const auto& [what, i] : steps) {
-            const auto step = static_cast<Step>(what);
+        double sentRetries = 0;
+        for (const auto& [stepNumber, i] : steps) {
+            const auto step = static_cast<Step>(stepNumber);
             if (step == Step::Request) {
                 ++requests;
                 budgets[i].recordFirstAttempt();
             } else if (step == Step::Retry) {
                 const bool isPaid = budgets[i].trySpend(static_cast<RetryPriority>(steps.size() % 3), {});
-                arrivals += isPaid;
+                sentRetries += isPaid;
                 pending[i] += isPaid;
-            } else if (step == Step::GiveBack && pending[i] > 0) {
+            } else if (step == Step::ReturnRetry && pending[i] > 0) {
                 budgets[i].charge(-1);
-                --arrivals;
+                --sentRetries;
                 --pending[i];
-            } else if (step == Step::Start && !hasStarted[i]) {
-                hasStarted[i] = true;
-                budgets[i] = fresh();
+            } else if (step == Step::Restart && !hasRestarted[i]) {
+                hasRestarted[i] = true;
+                budgets[i] = newBudget();
                 budgets[i].setBounds(nodeRetryFraction(ratio), nodeRetryBurst(slack, nodes));
                 pending[i] = 0;
             }
-            RC_ASSERT(arrivals <= ratio * requests + slack + 1e-9);
+            RC_ASSERT(sentRetries <= ratio * requests + slack + 1e-9);
         }
     });
 }
 
-// A nested call that was refused found the budget empty: calls from outside and second attempts beside late
-// ones had taken each retry as soon as it was earned.
-TEST_CASE("While higher claims go without a retry, what is earned is kept for them", "[routing]")
+// Guards against a refused nested call that finds the retry budget empty because retries of calls from
+// outside and hedged requests have spent each token as soon as it was earned.
+TEST_CASE("After a retry is denied, earned tokens are reserved for its priority and higher ones", "[routing]")
 {
     const Instant start {};
     RetryBudget budget(0.5, 1);
@@ -283,7 +285,7 @@
     REQUIRE(budget.trySpend(RetryPriority::Outside, start + 2s));
 }
 
-TEST_CASE("A changed share of the retries gives no new ones", "[routing]")
+TEST_CASE("Changing the bounds of a retry budget adds no retries", "[routing]")
 {
     ServiceRouter router({ .retryFraction = 0, .retryBurst = 3 });
     const auto spend = [&](int n) {
@@ -293,8 +295,8 @@
         return spent;
     };
     REQUIRE(spend(2) == 2);
-    router.setRetryBurst(2); // a node more
-    router.setRetryBurst(3); // and gone again
+    router.setRetryBurst(2); // a node joins
+    router.setRetryBurst(3); // and leaves again
     REQUIRE(spend(5) == 1);
     router.setRetryFraction(0.5);
     REQUIRE(spend(5) == 0);
@@ -303,7 +305,8 @@
     REQUIRE(spend(5) == 1);
 }
 
-TEST_CASE("Subsets are even, and change little when upstreams or ingresses come and go", "[routing]")
+TEST_CASE("Subsets load upstreams evenly and change little when an upstream or ingress is added or removed",
+    "[routing]")
 {
     constexpr std::size_t size = 20;
     const auto names = [](const std::string& prefix, int n) {
@@ -339,25 +342,25 @@
     REQUIRE(chooseSubset(names("u", 3), ingresses, "n1", size).size() == 3);
 }
 
-TEST_CASE("A lone upstream is still used when its answers are late", "[routing]")
+TEST_CASE("An upstream with late answers is paused, but used if no other is left", "[routing]")
 {
     ServiceRouter router({});
     Random random(1);
-    router.setUpstreams(targets(2), {});
+    router.setUpstreams(upstreamConfigs(2), {});
     for (int i = 0; i < 3; ++i) {
         router.onAttemptSent("u0", group);
         router.onAttemptLate("u0", {});
     }
-    REQUIRE(spread(router, 20, {}, random)["u0"] == 0);
+    REQUIRE(countPicks(router, 20, {}, random)["u0"] == 0);
     const std::vector<std::string> other { "u1" };
     REQUIRE(router.pickUpstream(other, { group }, {}, random) == "u0");
-    REQUIRE(spread(router, 20, Instant(900ms), random)["u0"] == 0);
+    REQUIRE(countPicks(router, 20, Instant(900ms), random)["u0"] == 0);
     for (int i = 0; i < 3; ++i)
         router.onAttemptAbandoned("u0", group);
-    REQUIRE(spread(router, 20, Instant(1100ms), random)["u0"] == 1);
+    REQUIRE(countPicks(router, 20, Instant(1100ms), random)["u0"] == 1);
 }
 
-TEST_CASE("An answer is late beyond nearly all others, and never before a few milliseconds", "[routing]")
+TEST_CASE("The hedge delay exceeds nearly all latencies and is never below five milliseconds", "[routing]")
 {
     ServiceRouter router({});
     REQUIRE_FALSE(router.hedgeDelay());
--- a/test/TimelyChoiceTest.cpp
+++ b/test/TimelyChoiceTest.cpp
@@ -15,7 +15,7 @@
 
 constexpr Instant start { 1s };
 
-Offer offer(std::uint64_t id, std::uint32_t priority, Duration target, Duration deadline = 1s)
+Offer makeOffer(std::uint64_t id, std::uint32_t priority, Duration target, Duration deadline = 1s)
 {
     Offer out;
     out.id = id;
@@ -25,29 +25,29 @@
     return out;
 }
 
-/// \brief An owner with one slot and a call in it; calls take 100 ms.
-Admission busyAdmission()
+/// \returns the admission of an owner whose only slot is in use by call 1; slot times are 100 ms.
+Admission admissionWithBusySlot()
 {
     Admission::Options options;
     options.slots = 1;
     options.initialService = 100ms;
     Admission admission(options);
-    admission.offer(offer(1, 1, 500ms), start);
+    admission.offer(makeOffer(1, 1, 500ms), start);
     return admission;
 }
 
-ServiceRouter routerOf(std::vector<UpstreamConfig> targets)
+ServiceRouter timelyRouter(std::vector<UpstreamConfig> upstreams)
 {
     ServiceRouter::Options options;
     options.policyKind = ChoicePolicyKind::Timely;
     ServiceRouter router(options);
-    router.setUpstreams(targets, start);
+    router.setUpstreams(upstreams, start);
     for (int i = 0; i < 50; ++i)
         router.recordSlotTime("c", 100ms, 1);
     return router;
 }
 
-OwnerReport told(double slowdown, std::uint32_t inUse)
+OwnerReport ownerReport(double slowdown, std::uint32_t inUse)
 {
     OwnerReport report;
     report.load = { 9, inUse, 0, 100ms, slowdown };
@@ -57,97 +57,97 @@
 
 } // namespace
 
-TEST_CASE("A call that can't be in time gets no place in the queue, but a free slot", "[timely]")
+TEST_CASE("A call that can't be in time is not queued but gets a free slot", "[timely]")
 {
-    auto admission = busyAdmission();
-    const auto late = admission.offer(offer(2, 1, 150ms), start);
+    auto admission = admissionWithBusySlot();
+    const auto late = admission.offer(makeOffer(2, 1, 150ms), start);
     REQUIRE(late.refused.at(0).reason == Reason::WouldBeLate);
     REQUIRE(late.refused.at(0).retryAfter > 0ms);
-    REQUIRE(admission.offer(offer(3, 1, 400ms), start).refused.empty());
+    REQUIRE(admission.offer(makeOffer(3, 1, 400ms), start).refused.empty());
     Admission idle { Admission::Options {} };
-    REQUIRE(idle.offer(offer(4, 1, 1us), start).run == std::vector<std::uint64_t> { 4 });
+    REQUIRE(idle.offer(makeOffer(4, 1, 1us), start).run == std::vector<std::uint64_t> { 4 });
 }
 
-TEST_CASE("A waiting call that can't be in time any more gives way to those that can", "[timely]")
+TEST_CASE("A waiting call that can no longer be in time is refused, and the next one runs", "[timely]")
 {
-    auto admission = busyAdmission();
-    REQUIRE(admission.offer(offer(2, 1, 250ms), start).refused.empty());
-    REQUIRE(admission.offer(offer(3, 1, 900ms), start).refused.empty());
+    auto admission = admissionWithBusySlot();
+    REQUIRE(admission.offer(makeOffer(2, 1, 250ms), start).refused.empty());
+    REQUIRE(admission.offer(makeOffer(3, 1, 900ms), start).refused.empty());
     const auto next = admission.finished(1, RunEnd::Answered, start + 200ms);
     REQUIRE(next.refused.at(0).id == 2);
     REQUIRE(next.run == std::vector<std::uint64_t> { 3 });
 }
 
-TEST_CASE("More urgent calls go first", "[timely]")
+TEST_CASE("Calls with a more urgent priority run first", "[timely]")
 {
-    auto admission = busyAdmission();
-    admission.offer(offer(2, 2, 900ms), start);
-    admission.offer(offer(3, 0, 900ms), start);
+    auto admission = admissionWithBusySlot();
+    admission.offer(makeOffer(2, 2, 900ms), start);
+    admission.offer(makeOffer(3, 0, 900ms), start);
     REQUIRE(admission.finished(1, RunEnd::Answered, start + 100ms).run == std::vector<std::uint64_t> { 3 });
 }
 
-TEST_CASE("Slot times are kept apart for calm and slow starts", "[timely]")
+TEST_CASE("Slot times are recorded separately for calls that start during a slow-down", "[timely]")
 {
     WorkEstimate work;
     REQUIRE_FALSE(work.of(1));
     work.add(100ms, 1);
-    REQUIRE(work.of(4) == 100ms); // nothing better is known
+    REQUIRE(work.of(4) == 100ms); // no call has started during a slow-down
     work.add(300ms, 4);
     REQUIRE(work.of(1) == 100ms);
     REQUIRE(work.of(4) == 300ms);
 }
 
-TEST_CASE("Calls go to a near upstream that is in time, else to a far one", "[timely]")
+TEST_CASE("Calls go to a near upstream if it is in time, otherwise to a far one", "[timely]")
 {
-    auto router = routerOf({ { "near", 9, 0ms, false }, { "far", 9, 2ms, true } });
+    auto router = timelyRouter({ { "near", 9, 0ms, false }, { "far", 9, 2ms, true } });
     Random random(1);
-    const CallProfile needs { 0, "c", 250ms };
-    REQUIRE(router.pickUpstream({}, needs, start, random) == "near");
-    router.onLoadReport("near", told(4, 1), start);
-    REQUIRE(router.pickUpstream({}, needs, start, random) == "far");
-    router.onLoadReport("near", told(1, 1), start);
-    REQUIRE(router.pickUpstream({}, needs, start, random) == "near");
-    router.onLoadReport("near", told(1, 40), start); // a queue that makes it late
-    REQUIRE(router.pickUpstream({}, needs, start, random) == "far");
+    const CallProfile profile { 0, "c", 250ms };
+    REQUIRE(router.pickUpstream({}, profile, start, random) == "near");
+    router.onLoadReport("near", ownerReport(4, 1), start);
+    REQUIRE(router.pickUpstream({}, profile, start, random) == "far");
+    router.onLoadReport("near", ownerReport(1, 1), start);
+    REQUIRE(router.pickUpstream({}, profile, start, random) == "near");
+    router.onLoadReport("near", ownerReport(1, 40), start); // a queue that makes the call late
+    REQUIRE(router.pickUpstream({}, profile, start, random) == "far");
 }
 
-TEST_CASE("An upstream whose backend server is down is left out until it is up", "[timely]")
+TEST_CASE("An upstream whose backend server is down gets no calls until the server is up", "[timely]")
 {
-    auto router = routerOf({ { "a", 9, 0ms, false }, { "b", 9, 0ms, false } });
+    auto router = timelyRouter({ { "a", 9, 0ms, false }, { "b", 9, 0ms, false } });
     Random random(1);
-    auto down = told(1, 0);
+    auto down = ownerReport(1, 0);
     down.load.isDown = true;
     router.onLoadReport("a", down, start);
     for (int i = 0; i < 10; ++i)
         REQUIRE(router.pickUpstream({}, { 0, "c", 250ms }, start, random) == "b");
-    router.onLoadReport("a", told(1, 0), start);
+    router.onLoadReport("a", ownerReport(1, 0), start);
     router.onLoadReport("b", down, start);
     REQUIRE(router.pickUpstream({}, { 0, "c", 250ms }, start, random) == "a");
 }
 
-TEST_CASE("Retries of one node stay inside its part, whatever the order", "[timely]")
+TEST_CASE("Retries of one node stay within its budget in any order", "[timely]")
 {
-    rc::prop("budget", [] {
+    rc::prop("for any order of first attempts and retries", [] {
         ServiceRouter::Options options;
         options.retryFraction = 0.1;
         options.retryBurst = 2;
         ServiceRouter router(options);
-        int first = 0;
+        int firstAttempts = 0;
         int retries = 0;
         const auto steps = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
-        for (const bool isFirst : steps) {
-            if (isFirst) {
+        for (const bool isFirstAttempt : steps) {
+            if (isFirstAttempt) {
                 router.recordFirstAttempt(0);
-                ++first;
+                ++firstAttempts;
             } else {
                 retries += router.trySpendRetry(0, RetryPriority::Outside, {});
             }
-            RC_ASSERT(retries <= 2 + 0.1 * first + 1e-9);
+            RC_ASSERT(retries <= 2 + 0.1 * firstAttempts + 1e-9);
         }
     });
 }
 
-TEST_CASE("A backend server's reply says what became of the call", "[timely]")
+TEST_CASE("The status and headers of a backend server's reply give the outcome of the call", "[timely]")
 {
     CallHeaders names;
     names.signature = "Sig";
@@ -158,7 +158,7 @@
     REQUIRE(judge({ 421, {}, "" }, names) == BackendVerdict::OtherUpstream);
 }
 
-TEST_CASE("Told loads are read, what isn't one is passed over", "[timely]")
+TEST_CASE("Valid load headers are parsed and malformed ones are ignored", "[timely]")
 {
     const auto load = parseLoad("3,1,12,400");
     REQUIRE(load->running == 3);
@@ -171,7 +171,8 @@
     rc::prop("any text", [](const std::string& text) { (void)parseLoad(text); });
 }
 
-TEST_CASE("The work clock runs slower while a slow-down is told, and tells how long that was", "[timely]")
+TEST_CASE("The work clock runs slower during a reported slow-down and returns the length of the slow phase",
+    "[timely]")
 {
     WorkClock clock;
     REQUIRE_FALSE(clock.told(1, start));
@@ -182,30 +183,31 @@
     REQUIRE_FALSE(clock.told(8, start + 300ms)); // still slow
     REQUIRE(clock.told(1, start + 700ms) == 600ms);
     REQUIRE(clock.read(start + 700ms) - begin == 200ms);
-    REQUIRE(clock.read(start) - begin <= 200ms); // an earlier time doesn't turn it back
-    REQUIRE_FALSE(clock.told(0.5, start + 800ms)); // nothing is faster than calm
+    REQUIRE(clock.read(start) - begin <= 200ms); // an earlier time doesn't turn the clock back
+    REQUIRE_FALSE(clock.told(0.5, start + 800ms)); // factors below 1 count as 1
     REQUIRE(clock.read(start + 900ms) - begin == 400ms);
 }
 
-TEST_CASE("What a running call still needs goes by the work done and the usual slow phase", "[timely]")
+TEST_CASE("The remaining time follows from the completed work and the mean length of slow phases", "[timely]")
 {
     RemainingTimeEstimate remaining;
-    REQUIRE(remaining.remainingTime("c", 0ms, 4) == 0ms); // nothing is known
+    REQUIRE(remaining.remainingTime("c", 0ms, 4) == 0ms); // no call of the class has been recorded
     for (int i = 0; i < 10; ++i)
         remaining.addRun("c", 200ms);
     remaining.addSlowPhase(400ms);
     REQUIRE(remaining.remainingTime("c", 50ms, 1) == 150ms);
-    REQUIRE(remaining.remainingTime("c", 190ms, 1) == 40ms); // a part of the usual is always left
-    REQUIRE(remaining.remainingTime("c", 150ms, 4) == 200ms); // ends within the phase
-    REQUIRE(remaining.remainingTime("c", 0ms, 4) == 500ms); // 100 ms of work in the phase, the rest after it
+    REQUIRE(remaining.remainingTime("c", 190ms, 1) == 40ms); // at least a fifth of the mean work is left
+    REQUIRE(remaining.remainingTime("c", 150ms, 4) == 200ms); // ends within the slow phase
+    REQUIRE(
+        remaining.remainingTime("c", 0ms, 4) == 500ms); // 100 ms of work in the slow phase, the rest after it
 }
 
-TEST_CASE("Bytes that a call moves weigh against leaving its hall, by its class", "[timely]")
+TEST_CASE("A call with more bytes is less likely to leave its data hall", "[timely]")
 {
-    // Near by, the server is slow enough to be late one time in a few; the far one is calm.
-    auto router = routerOf({ { "near", 9, 0ms, false }, { "far", 9, 3ms, true } });
-    router.onLoadReport("near", told(1.9, 0), start);
-    router.onLoadReport("far", told(1, 0), start);
+    // The near backend server is slow enough to make some answers late; the far one isn't slowed down.
+    auto router = timelyRouter({ { "near", 9, 0ms, false }, { "far", 9, 3ms, true } });
+    router.onLoadReport("near", ownerReport(1.9, 0), start);
+    router.onLoadReport("far", ownerReport(1, 0), start);
     Random random(1);
     const auto choiceOf = [&](double relativeBytes) {
         return *router.pickUpstream({}, { 0, "c", 210ms, relativeBytes }, start, random);
@@ -214,7 +216,7 @@
     REQUIRE(choiceOf(4) == "near");
 }
 
-TEST_CASE("A class counts by its bytes over those of a mean call, and as a mean one before any was seen",
+TEST_CASE("The bytes of a class are relative to a mean call, and a class without calls counts as a mean one",
     "[timely]")
 {
     CallSizeEstimate bytes;
