--- a/bench/decisions/decisions-main.cpp
+++ b/bench/decisions/decisions-main.cpp
@@ -1,6 +1,6 @@
 /// \file The cost of a decision, and how it grows with upstreams and groups (Google Benchmark).
 
-#include "Control/Spread.h"
+#include "Control/ConfigDisseminator.h"
 #include "Core/Random.h"
 #include "Node/Directory.h"
 #include "Once/TicketTable.h"
@@ -114,9 +114,9 @@
     for (auto _ : state) {
         now += 10us;
         const auto it = table.mint(random, now);
-        table.begin(it, {}, 1, now);
-        table.ended(it.nonce, { true, 200, {}, "done" });
-        benchmark::DoNotOptimize(table.begin(it, {}, 2, now));
+        table.beginCall(it, {}, 1, now);
+        table.recordAnswer(it.nonce, { true, 200, {}, "done" });
+        benchmark::DoNotOptimize(table.beginCall(it, {}, 2, now));
     }
 }
 BENCHMARK(ticket)->Iterations(200000);
@@ -213,13 +213,13 @@
     HostPage page { 1, true, {}, {} };
     for (int i = 0; i < state.range(0); ++i)
         page.hosts.push_back({ "host-" + std::to_string(i), "10.0.0.1:1", "hall", "region", false });
-    members.take(page);
+    members.applyPage(page);
     Instant now {};
-    Spread spread({}, page.hosts.front(), 1, now);
+    ConfigDisseminator spread({}, page.hosts.front(), 1, now);
     for (auto _ : state) {
         now += 100ms;
         benchmark::DoNotOptimize(spread.tick(members, 1, true, now));
-        benchmark::DoNotOptimize(Trees(members, spread.self(), spread.hallRanks(), 8).parent(now));
+        benchmark::DoNotOptimize(CountingTree(members, spread.self(), spread.hallRanking(), 8).parent(now));
     }
 }
 BENCHMARK(spreadTick)->Arg(25)->Arg(100)->Arg(400)->Unit(benchmark::kMicrosecond);
@@ -232,7 +232,7 @@
     for (int i = 0; i < state.range(0); ++i)
         names.push_back("host-" + std::to_string(i));
     for (auto _ : state)
-        benchmark::DoNotOptimize(firstByHash(names, "claims-1", 3));
+        benchmark::DoNotOptimize(topRankedByHash(names, "claims-1", 3));
 }
 BENCHMARK(findHomes)->Arg(100)->Arg(1000)->Arg(7200)->Unit(benchmark::kMicrosecond);
 
--- a/bench/faults/faults-main.cpp
+++ b/bench/faults/faults-main.cpp
@@ -15,8 +15,8 @@
     const long first = argc > 2 ? std::atol(argv[2]) : 1;
     robinrun::support::OnceVerdict sum;
     for (long seed = first; seed < first + schedules; ++seed) {
-        const auto verdict = OnceModel(static_cast<std::uint64_t>(seed), OnceModel::soundParts()).run();
-        if (!verdict.isGood())
+        const auto verdict = OnceModel(static_cast<std::uint64_t>(seed), OnceModel::correctParts()).run();
+        if (!verdict.hasNoViolation())
             std::cout << "{\"bench\":\"faults\",\"bad_seed\":" << seed << "}\n";
         sum.keysRunTwice += verdict.keysRunTwice;
         sum.falseNotRun += verdict.falseNotRun;
@@ -29,5 +29,5 @@
               << ",\"not_run\":" << sum.notRun << ",\"unknown\":" << sum.unknown
               << ",\"ran_twice\":" << sum.keysRunTwice << ",\"false_not_run\":" << sum.falseNotRun
               << ",\"foreign_answers\":" << sum.foreignAnswers << "}\n";
-    return sum.isGood() ? 0 : 1;
+    return sum.hasNoViolation() ? 0 : 1;
 }
--- a/bench/state/state-main.cpp
+++ b/bench/state/state-main.cpp
@@ -115,7 +115,7 @@
         for (int i = 0; i < n; ++i)
             page.hosts.push_back({ "host-" + std::to_string(i), "10.11.12.13:8082",
                 "data-hall-" + std::to_string(i % 18), "region-" + std::to_string(i % 7), false });
-        members->take(page);
+        members->applyPage(page);
         return members;
     });
 }
@@ -131,7 +131,7 @@
                 { "service-1-upstream-12", 1, 1, { random.bits(), random.bits() } } };
             page.records.push_back(ClaimBatch { "batch", { claim } }.serialize());
         }
-        fold->take(page, 1700000000000);
+        fold->applyPage(page, 1700000000000);
         return fold;
     });
     measure("used ticket with a 500-byte answer", sizes, [](int n) {
@@ -140,8 +140,8 @@
         Random random(1);
         for (int i = 0; i < n; ++i) {
             const auto ticket = table->mint(random, {});
-            table->begin(ticket, {}, 1, {});
-            table->ended(
+            table->beginCall(ticket, {}, 1, {});
+            table->recordAnswer(
                 ticket.nonce, { true, 200, { { "Content-Type", "text/plain" } }, std::string(500, 'x') });
         }
         return table;
--- a/src/Config/ConfigFollower.h
+++ b/src/Config/ConfigFollower.h
@@ -11,15 +11,15 @@
 namespace robinrun {
 
 /// \brief Whether the log can be followed.
-enum class LogStanding {
-    Unread, ///< not read since the start
+enum class LogFollowState {
+    NotYetRead, ///< not read since the start
     Followed,
     Unreachable,
-    Shorter, ///< it ends before what is applied here, or is another log: reported, never followed
+    Diverged, ///< it ends before what is applied here, or is another log: reported, never followed
     Gap, ///< records were forgotten that are needed, and no snapshot has been found yet
 };
 
-template <> struct EnumNames<LogStanding> {
+template <> struct EnumNames<LogFollowState> {
     static constexpr std::array<std::string_view, 5> names { "unread", "followed", "unreachable", "shorter",
         "gap" };
 };
@@ -34,20 +34,20 @@
     enum class Progress {
         None,
         Advanced,
-        NeedsEarlier, ///< the records begin beyond the next one: pull from nextOffset()
+        NeedsEarlierRecords, ///< the records begin beyond the next one: pull from nextOffset()
     };
 
     /// \brief Takes what was read from the log at readFrom() on.
-    Progress takePage(const LogPage& page);
+    Progress applyLogPage(const LogPage& page);
 
     /// \brief The log could not be read.
-    void logFailed();
+    void onLogReadFailed();
 
     /// \brief Takes records from a peer. Records of another log than the one followed are passed over.
-    Progress takeRecords(const proto::Records& records);
+    Progress applyPeerRecords(const proto::Records& records);
 
     /// \returns the offset to read the log from.
-    std::uint64_t readFrom() const;
+    std::uint64_t nextReadOffset() const;
 
     /// \returns records from \a from on for a peer, or the whole state where they are no longer held.
     proto::Records recordsFrom(std::uint64_t from) const;
@@ -59,28 +59,28 @@
     const ConfigState& state() const { return m_state; }
     std::uint64_t nextOffset() const { return m_state.nextOffset(); }
     const std::string& logId() const { return m_logId; }
-    LogStanding standing() const { return m_standing; }
+    LogFollowState logState() const { return m_logState; }
 
     /// \returns the end of the log when it was last read: beyond nextOffset(), something is missing here.
-    std::uint64_t knownEnd() const { return m_knownEnd; }
+    std::uint64_t knownLogEnd() const { return m_knownLogEnd; }
 
 private:
     /// Records held to pass on; older ones are served as a snapshot.
-    static constexpr std::size_t heldRecords = 256;
+    static constexpr std::size_t maxRecentRecords = 256;
     /// Records after the last snapshot, as a share of what the log keeps, beyond which a new one is due.
-    static constexpr std::uint64_t snapshotEvery = 512;
+    static constexpr std::uint64_t maxRecordsBetweenSnapshots = 512;
 
-    Progress applyFrom(std::uint64_t offset, const std::string& record);
-    Progress bridgeGap(const LogPage& page);
+    Progress applyRecord(std::uint64_t offset, const std::string& record);
+    Progress recoverFromGap(const LogPage& page);
 
     ConfigState m_state;
     std::string m_logId;
-    LogStanding m_standing = LogStanding::Unread;
-    std::uint64_t m_knownEnd = 0;
-    std::uint64_t m_gapReadFrom = 0;
-    std::map<std::uint64_t, std::string> m_gapRecords;
-    std::map<std::uint64_t, std::string> m_held;
-    std::uint64_t m_lastSnapshot = 0;
+    LogFollowState m_logState = LogFollowState::NotYetRead;
+    std::uint64_t m_knownLogEnd = 0;
+    std::uint64_t m_gapNextReadOffset = 0;
+    std::map<std::uint64_t, std::string> m_recordsAfterGap;
+    std::map<std::uint64_t, std::string> m_recentRecords;
+    std::uint64_t m_lastSnapshotOffset = 0;
     bool m_needsSnapshot = false;
 };
 
--- a/src/Config/ConfigState.h
+++ b/src/Config/ConfigState.h
@@ -21,7 +21,7 @@
 class ConfigState {
 public:
     /// Fates kept to answer writers by the id of their change.
-    static constexpr std::size_t keptFates = 1024;
+    static constexpr std::size_t maxFates = 1024;
 
     virtual ~ConfigState() = default;
 
@@ -35,13 +35,13 @@
     proto::Snapshot snapshot() const;
 
     /// \returns offset of the next record to apply: all below it are in force here.
-    std::uint64_t nextOffset() const { return m_next; }
+    std::uint64_t nextOffset() const { return m_nextOffset; }
 
     const std::map<std::string, proto::Resource>& resources() const { return m_resources; }
     const proto::Resource* find(const std::string& name) const;
 
     /// \returns what became of the change \a id, if it is among the last ones.
-    std::optional<proto::Fate> fateOf(const std::string& id) const;
+    std::optional<proto::Fate> fateOf(const std::string& changeId) const;
 
     /// \returns the last changes, oldest first.
     const std::deque<proto::Fate>& fates() const { return m_fates; }
@@ -52,19 +52,19 @@
 protected:
     /// \brief Decides a change. Virtual for tests that break it on purpose. \returns the reason to refuse it,
     /// or "".
-    virtual std::string refusalOf(const proto::ChangeRecord& change) const;
+    virtual std::string refusalReason(const proto::ChangeRecord& change) const;
 
 private:
-    void remember(proto::Fate fate);
+    void recordFate(proto::Fate fate);
     std::uint64_t versionOf(const std::string& name) const;
 
-    std::uint64_t m_next = 0;
+    std::uint64_t m_nextOffset = 0;
     std::map<std::string, proto::Resource> m_resources;
     std::deque<proto::Fate> m_fates;
-    std::unordered_map<std::string, proto::Fate> m_fateById;
+    std::unordered_map<std::string, proto::Fate> m_fateByChangeId;
 };
 
 /// \returns the name of the resource that \a change is about; "" for a snapshot.
-const std::string& targetOf(const proto::ChangeRecord& change);
+const std::string& targetName(const proto::ChangeRecord& change);
 
 } // namespace robinrun
--- a/src/Config/Validator.cpp
+++ b/src/Config/Validator.cpp
@@ -13,9 +13,9 @@
     constexpr std::size_t sha256HexLength = 64;
     constexpr unsigned maxSlots = 100000;
     constexpr unsigned maxPort = 65535;
-    constexpr double maxRate = 1e9; // calls a second
+    constexpr double maxCallsPerSecond = 1e9; // calls a second
 
-    bool isPlainName(std::string_view name)
+    bool isValidName(std::string_view name)
     {
         const auto isAllowed = [](char c) {
             return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '.' || c == '_';
@@ -25,32 +25,33 @@
     }
 
     /// \brief Collects errors under a path.
-    class Checker {
+    class ResourceChecker {
     public:
         std::vector<FieldError> errors;
 
-        void check(bool holds, const std::string& field, std::string message)
+        void check(bool isValid, const std::string& field, std::string message)
         {
-            if (!holds)
+            if (!isValid)
                 errors.push_back({ field, std::move(message) });
         }
 
         void checkName(std::string_view name, const std::string& field)
         {
-            check(isPlainName(name), field, "must be 1 to 100 of a-z, 0-9, '-', '_', '.'");
+            check(isValidName(name), field, "must be 1 to 100 of a-z, 0-9, '-', '_', '.'");
         }
 
-        void checkShare(double x, const std::string& field)
+        void checkShare(double value, const std::string& field)
         {
-            check(std::isfinite(x) && x >= 0 && x <= 1, field, "must be from 0 to 1");
+            check(std::isfinite(value) && value >= 0 && value <= 1, field, "must be from 0 to 1");
         }
 
-        void checkRate(double x, const std::string& field)
+        void checkRate(double value, const std::string& field)
         {
-            check(std::isfinite(x) && x >= 0 && x <= maxRate, field, "must be from 0 to 1000000000");
+            check(std::isfinite(value) && value >= 0 && value <= maxCallsPerSecond, field,
+                "must be from 0 to 1000000000");
         }
 
-        void service(const proto::Service& it)
+        void checkService(const proto::Service& it)
         {
             check(it.deadline_ms() > 0, "service.deadline_ms", "must be above 0");
             checkShare(it.retry_fraction(), "service.retry_fraction");
@@ -71,11 +72,12 @@
             }
         }
 
-        void upstream(const proto::Upstream& it)
+        void checkUpstream(const proto::Upstream& it)
         {
             checkName(it.service(), "upstream.service");
-            check(isAddress(it.address()), "upstream.address", "must be an IPv4 address and port");
-            check(isAddress(it.node_address()), "upstream.node_address", "must be an IPv4 address and port");
+            check(isIpv4Endpoint(it.address()), "upstream.address", "must be an IPv4 address and port");
+            check(isIpv4Endpoint(it.node_address()), "upstream.node_address",
+                "must be an IPv4 address and port");
             checkName(it.host(), "upstream.host");
             checkName(it.data_hall(), "upstream.data_hall");
             checkName(it.region(), "upstream.region");
@@ -84,7 +86,7 @@
                 "must be 1 to 100000");
         }
 
-        void route(const proto::Route& it)
+        void checkRoute(const proto::Route& it)
         {
             check(!it.host().empty() && it.host().find_first_of(": /") == std::string::npos, "route.host",
                 "must be a host without a port");
@@ -106,21 +108,21 @@
                 checkName(it.regions(i), "route.regions[" + std::to_string(i) + "]");
         }
 
-        void credential(const std::string& hex, const std::string& field)
+        void checkCredential(const std::string& digest, const std::string& field)
         {
             const auto isHex = [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); };
-            check(hex.size() == sha256HexLength && std::all_of(hex.begin(), hex.end(), isHex), field,
+            check(digest.size() == sha256HexLength && std::all_of(digest.begin(), digest.end(), isHex), field,
                 "must be 64 lower-case hex digits");
         }
 
-        void group(const proto::Group& it)
+        void checkGroup(const proto::Group& it)
         {
-            credential(it.credential_sha256(), "group.credential_sha256");
-            std::set<std::string> credentials { it.credential_sha256() };
+            checkCredential(it.credential_sha256(), "group.credential_sha256");
+            std::set<std::string> digests { it.credential_sha256() };
             for (int i = 0; i < it.more_credentials_sha256_size(); ++i) {
                 const auto path = "group.more_credentials_sha256[" + std::to_string(i) + "]";
-                credential(it.more_credentials_sha256(i), path);
-                check(credentials.insert(it.more_credentials_sha256(i)).second, path, "stands twice");
+                checkCredential(it.more_credentials_sha256(i), path);
+                check(digests.insert(it.more_credentials_sha256(i)).second, path, "stands twice");
             }
             checkRate(it.rate_per_s(), "group.rate_per_s");
             checkRate(it.burst(), "group.burst");
@@ -145,7 +147,7 @@
 
 } // namespace
 
-bool isAddress(std::string_view address)
+bool isIpv4Endpoint(std::string_view address)
 {
     const auto colon = address.rfind(':');
     if (colon == std::string_view::npos)
@@ -161,7 +163,7 @@
 
 std::vector<FieldError> validate(const proto::Resource& resource)
 {
-    Checker checker;
+    ResourceChecker checker;
     const auto slash = resource.name().find('/');
     checker.check(slash != std::string::npos, "name", "must be <kind>/<id>");
     if (slash != std::string::npos)
@@ -169,19 +171,19 @@
     switch (resource.body_case()) {
     case proto::Resource::kService:
         checker.check(hasKind(resource, "services"), "name", "a service is named services/<id>");
-        checker.service(resource.service());
+        checker.checkService(resource.service());
         break;
     case proto::Resource::kUpstream:
         checker.check(hasKind(resource, "upstreams"), "name", "an upstream is named upstreams/<id>");
-        checker.upstream(resource.upstream());
+        checker.checkUpstream(resource.upstream());
         break;
     case proto::Resource::kGroup:
         checker.check(hasKind(resource, "groups"), "name", "a group is named groups/<id>");
-        checker.group(resource.group());
+        checker.checkGroup(resource.group());
         break;
     case proto::Resource::kRoute:
         checker.check(hasKind(resource, "routes"), "name", "a route is named routes/<id>");
-        checker.route(resource.route());
+        checker.checkRoute(resource.route());
         break;
     case proto::Resource::kDataHall:
         checker.check(hasKind(resource, "halls"), "name", "a data hall is named halls/<id>");
--- a/src/Config/Validator.h
+++ b/src/Config/Validator.h
@@ -12,7 +12,7 @@
 struct FieldError {
     std::string field; ///< path, as in `service.classes[1].path_prefix`
     std::string message;
-    std::string text() const { return field + ": " + message; }
+    std::string toString() const { return field + ": " + message; }
 };
 
 /// \brief Checks a resource whole. \returns every error; empty if it may be accepted.
@@ -21,6 +21,6 @@
 std::vector<FieldError> validate(const proto::Resource& resource);
 
 /// \returns whether \a address is an IPv4 address and a port, `a.b.c.d:port`.
-bool isAddress(std::string_view address);
+bool isIpv4Endpoint(std::string_view address);
 
 } // namespace robinrun
--- a/src/Control/InForceTree.cpp
+++ b/src/Control/InForceAggregator.cpp
@@ -1,4 +1,4 @@
-#include "Control/InForceTree.h"
+#include "Control/InForceAggregator.h"
 
 #include <algorithm>
 #include <vector>
@@ -14,9 +14,9 @@
 
     /// \brief Writes the counts, merging the lowest offsets into one when there are too many: never
     /// overstates.
-    void writeCounts(std::map<std::uint64_t, std::uint32_t> counts, proto::InForce& out)
+    void encodeCounts(std::map<std::uint64_t, std::uint32_t> counts, proto::InForce& out)
     {
-        while (counts.size() > InForceTree::maxCounts) {
+        while (counts.size() > InForceAggregator::maxCounts) {
             const auto lowest = counts.begin();
             const auto second = std::next(lowest);
             lowest->second += second->second;
@@ -31,32 +31,33 @@
 
 } // namespace
 
-void InForceTree::take(const std::string& child, const proto::InForce& report, Instant now)
+void InForceAggregator::recordReport(const std::string& child, const proto::InForce& report, Instant now)
 {
     if (report.nodes())
-        m_children[child] = { report, now };
+        m_childReports[child] = { report, now };
     else
-        m_children.erase(child);
+        m_childReports.erase(child);
 }
 
-proto::InForce InForceTree::sum(
-    const std::string& self, std::uint64_t nextOffset, Duration behindFor, Instant now)
+proto::InForce InForceAggregator::aggregate(
+    const std::string& self, std::uint64_t nextOffset, Duration behindDuration, Instant now)
 {
-    std::erase_if(m_children, [&](const auto& it) { return now - it.second.heard > m_reportLife; });
+    std::erase_if(
+        m_childReports, [&](const auto& it) { return now - it.second.receivedAt > m_reportLifetime; });
     proto::InForce out;
     out.set_nodes(1);
     out.set_min_next_offset(nextOffset);
     out.set_max_next_offset(nextOffset);
     std::map<std::uint64_t, std::uint32_t> counts { { nextOffset, 1 } };
     std::vector<proto::Laggard> laggards;
-    if (behindFor > Duration::zero()) {
+    if (behindDuration > Duration::zero()) {
         proto::Laggard own;
         own.set_node(self);
         own.set_next_offset(nextOffset);
-        own.set_since_ms(static_cast<std::uint32_t>(toMilliseconds(behindFor)));
+        own.set_since_ms(static_cast<std::uint32_t>(toMilliseconds(behindDuration)));
         laggards.push_back(own);
     }
-    for (const auto& [name, child] : m_children) {
+    for (const auto& [name, child] : m_childReports) {
         const auto& report = child.report;
         out.set_nodes(out.nodes() + report.nodes());
         out.set_min_next_offset(std::min(out.min_next_offset(), report.min_next_offset()));
@@ -68,7 +69,7 @@
         [](const auto& a, const auto& b) { return a.since_ms() > b.since_ms(); });
     for (std::size_t i = 0; i < std::min<std::size_t>(laggards.size(), maxLaggards); ++i)
         *out.add_laggards() = laggards[i];
-    writeCounts(std::move(counts), out);
+    encodeCounts(std::move(counts), out);
     return out;
 }
 
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -3,46 +3,46 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::size_t maxGone = 1000;
+    constexpr std::size_t maxRemovedHosts = 1000;
 
 } // namespace
 
-bool Membership::take(const HostPage& page)
+bool Membership::applyPage(const HostPage& page)
 {
     if (page.version <= m_version)
         return false;
     if (page.isWhole) {
         m_hosts.clear();
-        m_changedAt.clear();
-        m_deltasFrom = page.version;
+        m_lastChangeVersions.clear();
+        m_oldestDeltaVersion = page.version;
     }
     for (const auto& it : page.hosts) {
         m_hosts[it.name] = it;
-        m_changedAt[it.name] = page.version;
+        m_lastChangeVersions[it.name] = page.version;
     }
     for (const auto& it : page.gone) {
         m_hosts.erase(it);
-        m_changedAt[it] = page.version;
+        m_lastChangeVersions[it] = page.version;
     }
-    forgetGone();
+    pruneRemovedHosts();
     m_version = page.version;
-    index();
+    rebuildHallIndex();
     return true;
 }
 
-void Membership::index()
+void Membership::rebuildHallIndex()
 {
-    m_hallHosts.clear();
+    m_hostNamesByHall.clear();
     for (const auto& [name, host] : m_hosts)
-        m_hallHosts[host.region][host.dataHall].push_back(name);
+        m_hostNamesByHall[host.region][host.dataHall].push_back(name);
 }
 
 void Membership::suspect(const std::string& name, Instant now)
 {
-    m_suspectedUntil[name] = now + m_options.suspicion;
+    m_suspectedUntil[name] = now + m_options.suspicionDuration;
 }
 
-void Membership::heardFrom(const std::string& name)
+void Membership::clearSuspicion(const std::string& name)
 {
     m_suspectedUntil.erase(name);
 }
@@ -65,10 +65,10 @@
     return it == m_hosts.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> Membership::listedIn(const std::string& hall) const
+std::vector<std::string> Membership::listedHosts(const std::string& hall) const
 {
     std::vector<std::string> listed;
-    for (const auto& [region, halls] : m_hallHosts) {
+    for (const auto& [region, halls] : m_hostNamesByHall) {
         const auto found = halls.find(hall);
         if (found == halls.end())
             continue;
@@ -80,9 +80,9 @@
     return listed;
 }
 
-std::vector<std::string> Membership::liveIn(const std::string& hall, Instant now) const
+std::vector<std::string> Membership::liveHosts(const std::string& hall, Instant now) const
 {
-    auto live = listedIn(hall);
+    auto live = listedHosts(hall);
     std::erase_if(live, [&](const auto& it) { return isSuspected(it, now); });
     return live;
 }
@@ -90,7 +90,7 @@
 std::vector<std::string> Membership::halls(const std::string& region) const
 {
     std::vector<std::string> names;
-    for (const auto& [name, halls] : m_hallHosts) {
+    for (const auto& [name, halls] : m_hostNamesByHall) {
         if (!region.empty() && name != region)
             continue;
         for (const auto& it : halls)
@@ -102,12 +102,12 @@
 std::vector<std::string> Membership::regions() const
 {
     std::vector<std::string> names;
-    for (const auto& it : m_hallHosts)
+    for (const auto& it : m_hostNamesByHall)
         names.push_back(it.first);
     return names;
 }
 
-std::vector<std::string> Membership::names() const
+std::vector<std::string> Membership::hostNames() const
 {
     std::vector<std::string> names;
     names.reserve(m_hosts.size());
@@ -116,14 +116,14 @@
     return names;
 }
 
-std::optional<HostPage> Membership::pageSince(std::uint64_t version) const
+std::optional<HostPage> Membership::changesSince(std::uint64_t version) const
 {
     if (version >= m_version)
         return std::nullopt;
-    const bool isWhole = version < m_deltasFrom;
+    const bool isWhole = version < m_oldestDeltaVersion;
     HostPage page { m_version, isWhole, {}, {} };
-    for (const auto& [name, changed] : m_changedAt) {
-        if (!isWhole && changed <= version)
+    for (const auto& [name, changeVersion] : m_lastChangeVersions) {
+        if (!isWhole && changeVersion <= version)
             continue;
         const auto* host = find(name);
         if (host)
@@ -134,12 +134,12 @@
     return page;
 }
 
-void Membership::forgetGone()
+void Membership::pruneRemovedHosts()
 {
-    if (m_changedAt.size() <= m_hosts.size() + maxGone)
+    if (m_lastChangeVersions.size() <= m_hosts.size() + maxRemovedHosts)
         return;
-    std::erase_if(m_changedAt, [&](const auto& it) { return !m_hosts.contains(it.first); });
-    m_deltasFrom = m_version + 1;
+    std::erase_if(m_lastChangeVersions, [&](const auto& it) { return !m_hosts.contains(it.first); });
+    m_oldestDeltaVersion = m_version + 1;
 }
 
 } // namespace robinrun
--- a/src/Control/Membership.h
+++ b/src/Control/Membership.h
@@ -21,7 +21,7 @@
 class Membership {
 public:
     struct Options {
-        Duration suspicion = 10s;
+        Duration suspicionDuration = 10s;
     };
 
     explicit Membership(Options options)
@@ -31,10 +31,10 @@
 
     /// \brief Takes changes to the list. Older versions than the present are passed over. \returns whether
     /// taken.
-    bool take(const HostPage& page);
+    bool applyPage(const HostPage& page);
 
     void suspect(const std::string& name, Instant now);
-    void heardFrom(const std::string& name);
+    void clearSuspicion(const std::string& name);
 
     /// \returns whether the host is listed, isn't leaving and isn't suspected.
     bool isLive(const std::string& name, Instant now) const;
@@ -43,21 +43,21 @@
 
     /// \returns names of the hosts of a data hall that are listed and not leaving, suspected or not, in a
     /// fixed order.
-    std::vector<std::string> listedIn(const std::string& hall) const;
+    std::vector<std::string> listedHosts(const std::string& hall) const;
 
     /// \returns names of the live hosts of a data hall, in a fixed order.
-    std::vector<std::string> liveIn(const std::string& hall, Instant now) const;
+    std::vector<std::string> liveHosts(const std::string& hall, Instant now) const;
 
     /// \returns names of all data halls of a region, or of all regions where \a region is empty.
     std::vector<std::string> halls(const std::string& region) const;
     std::vector<std::string> regions() const;
 
     /// \returns all listed names, in a fixed order.
-    std::vector<std::string> names() const;
+    std::vector<std::string> hostNames() const;
 
     /// \returns what changed since \a version, whole for 0 or after too many hosts have gone; nothing if
     /// there is nothing.
-    std::optional<HostPage> pageSince(std::uint64_t version) const;
+    std::optional<HostPage> changesSince(std::uint64_t version) const;
 
     std::uint64_t version() const { return m_version; }
     std::size_t size() const { return m_hosts.size(); }
@@ -67,14 +67,14 @@
     std::uint64_t m_version = 0;
     std::map<std::string, HostEntry> m_hosts;
     std::map<std::string, std::uint64_t>
-        m_changedAt; ///< version of the page that last told of a host, also of gone ones
-    std::uint64_t m_deltasFrom = 0; ///< before it what has gone is no longer known
+        m_lastChangeVersions; ///< version of the page that last told of a host, also of gone ones
+    std::uint64_t m_oldestDeltaVersion = 0; ///< before it what has gone is no longer known
     std::map<std::string, std::map<std::string, std::vector<std::string>>>
-        m_hallHosts; ///< region, hall, names
+        m_hostNamesByHall; ///< region, hall, names
     std::unordered_map<std::string, Instant> m_suspectedUntil;
 
-    void index();
-    void forgetGone();
+    void rebuildHallIndex();
+    void pruneRemovedHosts();
 };
 
 } // namespace robinrun
--- a/src/Node/CallReply.cpp
+++ b/src/Node/CallReply.cpp
@@ -48,7 +48,7 @@
 
 HttpReply ticket(const Ticket& ticket)
 {
-    const auto text = ticket.text();
+    const auto text = ticket.toString();
     return { created, { field(headers::ticket, text), { "Content-Type", "application/json" } },
         "{\"ticket\":\"" + text + "\"}\n" };
 }
--- a/src/Node/CallRequest.cpp
+++ b/src/Node/CallRequest.cpp
@@ -2,7 +2,7 @@
 
 #include "Http/HttpStatus.h"
 #include "Node/CallHeaders.h"
-#include "Once/KeyAge.h"
+#include "Once/KeyCreationTime.h"
 
 #include <algorithm>
 #include <charconv>
@@ -270,7 +270,7 @@
                     return "header Robinrun-Ticket: " + parsed.error();
                 m_out.ticket = std::move(parsed.value());
             }
-            if (key && !keyBornMs(*key))
+            if (key && !keyCreationTimeMs(*key))
                 return "header Idempotency-Key: a UUID of version 7 or <seconds since 1970>:<text> is "
                        "expected";
             if (key)
--- a/src/Node/ClaimService.cpp
+++ b/src/Node/ClaimService.cpp
@@ -41,11 +41,11 @@
     auto& it = m_homeNames[partition];
     if (now >= it.validUntil || it.names.empty()) {
         std::vector<std::string> live;
-        for (auto& name : m_members->names()) {
+        for (auto& name : m_members->hostNames()) {
             if (m_members->isLive(name, now))
                 live.push_back(std::move(name));
         }
-        it.names = firstByHash(live, claimStream(partition), maxHomes);
+        it.names = topRankedByHash(live, claimStream(partition), maxHomes);
         it.validUntil = now + homeNamesLife;
     }
     if (it.names.empty())
@@ -58,7 +58,8 @@
     if (!isBusy() && m_becameBusy)
         m_becameBusy();
     const auto number = ++m_lastNumber;
-    const auto partition = static_cast<std::uint32_t>(claim.key.high % m_context->settings.claims.partitions);
+    const auto partition
+        = static_cast<std::uint32_t>(claim.keyHash.high % m_context->settings.claims.partitions);
     auto& asked = m_asked[number];
     asked = { claim, partition, std::move(decided), now, 0, {} };
     ask(number, asked, now);
@@ -132,10 +133,10 @@
     const auto& settings = m_context->settings.claims;
     ClaimFold::Options foldOptions;
     foldOptions.keyLifetime = settings.keyLifetime;
-    foldOptions.clockSkew = settings.clockSkew;
+    foldOptions.maxClockSkew = settings.clockSkew;
     ClaimBatcher::Options batchOptions;
-    batchOptions.gather = settings.gather;
-    batchOptions.decideWithin = settings.decideWithin;
+    batchOptions.maxBatchDelay = settings.gather;
+    batchOptions.decisionTimeout = settings.decideWithin;
     const auto stream = claimStream(partition);
     return m_homes.try_emplace(partition, foldOptions, batchOptions, m_context->incarnation, stream)
         .first->second;
@@ -149,7 +150,7 @@
     it.lastRequest = now;
     const auto wallMs = m_context->wallClock();
     // A winner is final as soon as it is seen: repeats need no append.
-    const auto status = it.fold.status(claim.key, claim.bornMs, wallMs);
+    const auto status = it.fold.status(claim.keyHash, claim.keyCreatedMs, wallMs);
     if (status.kind == ClaimStatus::Kind::Won)
         return decided({ 0, ClaimDecision::Kind::Won, status.winner });
     read(partition, it, now);
@@ -157,7 +158,7 @@
         return decided({ 0, ClaimDecision::Kind::Undecided, {} });
     const auto number = ++m_lastNumber;
     it.deciders.emplace(number, std::move(decided));
-    it.batcher.request(number, claim, now);
+    it.batcher.addClaim(number, claim, now);
 }
 
 void ClaimService::read(std::uint32_t partition, Home& home, Instant now)
@@ -166,7 +167,7 @@
         return;
     home.isReading = true;
     // The first read only shows what stands there; later ones wait for more.
-    const auto wait = home.fold.hasRead() ? readWait : Duration::zero();
+    const auto wait = home.fold.hasAppliedPage() ? readWait : Duration::zero();
     m_log->read(claimStream(partition), home.fold.nextOffset(), pageRecords, wait,
         [this, partition](Result<LogPage, PlatformError> page) {
             const auto it = m_homes.find(partition);
@@ -180,10 +181,10 @@
                 return;
             }
             const auto wallMs = m_context->wallClock();
-            const auto batches = it->second.fold.take(page.value(), wallMs);
-            it->second.batcher.streamAdvanced(it->second.fold, batches, wallMs);
+            const auto batches = it->second.fold.applyPage(page.value(), wallMs);
+            it->second.batcher.onStreamRead(it->second.fold, batches, wallMs);
             deliver(it->second);
-            if (it->second.batcher.waiting())
+            if (it->second.batcher.pendingCount())
                 read(partition, it->second, end);
         });
 }
@@ -191,9 +192,9 @@
 void ClaimService::flush(std::uint32_t partition, Home& home, Instant now)
 {
     // Nothing is appended before the stream has been read: an old claim of the key may stand there.
-    if (!home.fold.hasRead() || !home.batcher.isDue(now) || !m_appendBudget.tryTake(1, now))
+    if (!home.fold.hasAppliedPage() || !home.batcher.isBatchDue(now) || !m_appendBudget.tryTake(1, now))
         return;
-    const auto batch = home.batcher.nextBatch(now);
+    const auto batch = home.batcher.takeNextBatch(now);
     ++m_appends;
     m_log->append(claimStream(partition), batch->serialize(),
         [this, partition, id = batch->id](Result<std::uint64_t, PlatformError> offset) {
@@ -203,14 +204,14 @@
             const bool isCertain = offset.error().kind == PlatformErrorKind::Unreachable
                 || offset.error().kind == PlatformErrorKind::Refused;
             if (isCertain)
-                it->second.batcher.appendFailed(id, m_context->clock());
+                it->second.batcher.onAppendFailed(id, m_context->clock());
         });
 }
 
 void ClaimService::deliver(Home& home)
 {
     for (const auto& decision : home.batcher.takeDecisions()) {
-        auto node = home.deciders.extract(decision.request);
+        auto node = home.deciders.extract(decision.requestId);
         if (!node.empty())
             node.mapped()(decision);
     }
@@ -220,13 +221,14 @@
 {
     for (auto& [partition, home] : m_homes) {
         flush(partition, home, now);
-        home.batcher.expire(now);
+        home.batcher.expireOldClaims(now);
         deliver(home);
-        if (home.batcher.waiting() || home.isLogOut)
+        if (home.batcher.pendingCount() || home.isLogOut)
             read(partition, home, now);
     }
     std::erase_if(m_homes, [&](const auto& it) {
-        return !it.second.isReading && !it.second.batcher.waiting() && now - it.second.lastRequest > homeLife;
+        return !it.second.isReading && !it.second.batcher.pendingCount()
+            && now - it.second.lastRequest > homeLife;
     });
     tickAsked(now);
 }
--- a/src/Node/ControlPlane.cpp
+++ b/src/Node/ControlPlane.cpp
@@ -59,12 +59,12 @@
         return { settings.name, settings.listen.peers, settings.dataHall, settings.region, false };
     }
 
-    Spread::Options spreadOptions(const NodeSettings& settings)
+    ConfigDisseminator::Options spreadOptions(const NodeSettings& settings)
     {
-        Spread::Options options;
-        options.readers = settings.control.readers;
+        ConfigDisseminator::Options options;
+        options.readersPerHall = settings.control.readers;
         options.fanOut = settings.control.fanOut;
-        options.digestEvery = settings.control.digestEvery;
+        options.digestInterval = settings.control.digestEvery;
         return options;
     }
 
@@ -148,13 +148,13 @@
     m_isReading = true;
     m_readWanted = false;
     m_context->metrics.count("robinrun_log_reads_total");
-    m_log->read(configStream, m_follower.readFrom(), pageRecords, longWait,
+    m_log->read(configStream, m_follower.nextReadOffset(), pageRecords, longWait,
         [this](Result<LogPage, PlatformError> page) {
             const auto end = m_context->clock();
             m_isReading = false;
             m_isLogAnswering = page.has_value();
             if (!page) {
-                m_follower.logFailed();
+                m_follower.onLogReadFailed();
                 m_readAgainAt = end + readRetry;
                 return;
             }
@@ -169,15 +169,15 @@
     for (const auto& it : page.records)
         bytes += static_cast<double>(it.size());
     m_context->metrics.count("robinrun_log_read_bytes_total", bytes);
-    const auto before = m_follower.standing();
+    const auto before = m_follower.logState();
     const auto from = m_follower.nextOffset();
-    const auto progress = m_follower.takePage(page);
-    m_spread.heard(now);
-    if (m_follower.standing() != before)
-        log(LogLevel::Info, "log-standing", { { "standing", nameOf(m_follower.standing()) } });
+    const auto progress = m_follower.applyLogPage(page);
+    m_spread.confirmUpToDate(now);
+    if (m_follower.logState() != before)
+        log(LogLevel::Info, "log-standing", { { "standing", nameOf(m_follower.logState()) } });
     if (progress == ConfigFollower::Progress::Advanced)
         advanced("", from, now);
-    if (m_follower.standing() == LogStanding::Shorter)
+    if (m_follower.logState() == LogFollowState::Diverged)
         m_readAgainAt = now + readRetry;
     const bool hasMore = !page.records.empty() && page.from + page.records.size() < page.end;
     if (hasMore || m_readWanted || isReader(now))
@@ -187,7 +187,7 @@
 bool ControlPlane::take(const PeerSocket::Sender& sender, proto::PeerMessage& message, Instant now)
 {
     const TimeSpent timeSpent(*m_context);
-    m_members.heardFrom(sender.node);
+    m_members.clearSuspicion(sender.node);
     switch (message.body_case()) {
     case proto::PeerMessage::kRecords:
         takeRecords(sender, message.records(), now);
@@ -199,7 +199,7 @@
         answerRecords(sender, message.pull().next_offset(), now);
         return true;
     case proto::PeerMessage::kInForce:
-        m_inForce.take(sender.node, message.in_force(), now);
+        m_inForce.recordReport(sender.node, message.in_force(), now);
         return true;
     case proto::PeerMessage::kInForceRequest:
         answerCount(sender, message.in_force_request().number(), now);
@@ -240,12 +240,12 @@
     const TimeSpent timeSpent(*m_context);
     sendOpening(now);
     const auto step = m_spread.tick(m_members, m_follower.nextOffset(), m_isLogAnswering, now);
-    const bool isBehindGap = m_follower.standing() == LogStanding::Gap;
-    if (step.readLog || m_readWanted || isBehindGap)
+    const bool isBehindGap = m_follower.logState() == LogFollowState::Gap;
+    if (step.shouldReadLog || m_readWanted || isBehindGap)
         readLog(now);
-    if (step.fetchHosts || !m_members.version())
+    if (step.shouldFetchHosts || !m_members.version())
         fetchHosts(now);
-    for (const auto& it : step.digests) {
+    for (const auto& it : step.digestPeers) {
         proto::PeerMessage message;
         message.mutable_digest()->set_next_offset(m_follower.nextOffset());
         message.mutable_digest()->set_log_id(m_follower.logId());
--- a/src/Node/ControlPlane.h
+++ b/src/Node/ControlPlane.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "Config/ConfigFollower.h"
-#include "Control/InForceTree.h"
+#include "Control/ConfigDisseminator.h"
+#include "Control/InForceAggregator.h"
 #include "Control/Membership.h"
-#include "Control/Spread.h"
 #include "Core/TokenBucket.h"
 #include "Node/NodeContext.h"
 #include "Node/PeerLinks.h"
@@ -58,8 +58,8 @@
     /// of \a root ("": this node) and runs the function given to onChanged().
     void advanced(const std::string& root, std::uint64_t from, Instant now);
     /// \brief Passes records on; those below a child that turns out to be gone are served in its place.
-    void passOn(std::vector<PassOn> list, Instant now);
-    SendResult sendRecords(const PassOn& what, Instant now);
+    void passOn(std::vector<RecordForward> list, Instant now);
+    SendResult sendRecords(const RecordForward& what, Instant now);
     void takeRecords(const PeerSocket::Sender& sender, const proto::Records& records, Instant now);
     void takeDigest(const PeerSocket::Sender& sender, const proto::Digest& digest, Instant now);
     /// \brief Answers a node whose configuration ends at the offset \a from with the records after it.
@@ -99,9 +99,9 @@
     std::vector<Opening> m_opening; ///< paid for; their links are being opened
     Changed m_changed;
     Membership m_members;
-    Spread m_spread;
+    ConfigDisseminator m_spread;
     ConfigFollower m_follower;
-    InForceTree m_inForce;
+    InForceAggregator m_inForce;
     TokenBucket m_budget; ///< bytes
     bool m_isReading = false;
     bool m_isLogAnswering = false;
--- a/src/Node/ControlPlaneCounts.cpp
+++ b/src/Node/ControlPlaneCounts.cpp
@@ -16,19 +16,20 @@
 
 std::string ControlPlane::countingParent(Instant now)
 {
-    return Trees(m_members, m_spread.self(), m_spread.hallRanks(), m_context->settings.control.fanOut)
+    return CountingTree(
+        m_members, m_spread.self(), m_spread.hallRanking(), m_context->settings.control.fanOut)
         .parent(now);
 }
 
 proto::InForce ControlPlane::ownSum(Instant now)
 {
-    const bool isBehind = m_follower.knownEnd() > m_follower.nextOffset();
+    const bool isBehind = m_follower.knownLogEnd() > m_follower.nextOffset();
     if (!isBehind)
         m_behindSince.reset();
     else if (!m_behindSince)
         m_behindSince = now;
     const auto behindFor = m_behindSince ? std::max(now - *m_behindSince, Duration(1)) : Duration::zero();
-    return m_inForce.sum(m_context->settings.name, m_follower.nextOffset(), behindFor, now);
+    return m_inForce.aggregate(m_context->settings.name, m_follower.nextOffset(), behindFor, now);
 }
 
 void ControlPlane::reportUp(Instant now)
--- a/src/Node/ControlPlaneHosts.cpp
+++ b/src/Node/ControlPlaneHosts.cpp
@@ -7,14 +7,14 @@
 void ControlPlane::fetchHosts(Instant)
 {
     m_hosts->fetch(m_members.version(), [this](Result<HostPage, PlatformError> page) {
-        if (page.has_value() && m_members.take(page.value()) && m_changed)
+        if (page.has_value() && m_members.applyPage(page.value()) && m_changed)
             m_changed();
     });
 }
 
 void ControlPlane::sendHosts(const PeerSocket::Sender& sender, std::uint64_t since, Instant now)
 {
-    const auto page = m_members.pageSince(since);
+    const auto page = m_members.changesSince(since);
     if (!page)
         return;
     proto::PeerMessage message;
@@ -41,7 +41,7 @@
         page.hosts.push_back({ it.name(), it.peer_address(), it.data_hall(), it.region(), it.leaving() });
     for (const auto& it : changes.gone())
         page.gone.push_back(it);
-    if (m_members.take(page) && m_changed)
+    if (m_members.applyPage(page) && m_changed)
         m_changed();
 }
 
--- a/src/Node/ControlPlaneRecords.cpp
+++ b/src/Node/ControlPlaneRecords.cpp
@@ -10,43 +10,44 @@
 
 void ControlPlane::advanced(const std::string& root, std::uint64_t from, Instant now)
 {
-    passOn(m_spread.advanced(m_members, root, from, m_follower.nextOffset(), now), now);
+    passOn(m_spread.onOffsetAdvanced(m_members, root, from, m_follower.nextOffset(), now), now);
     if (m_changed)
         m_changed();
 }
 
-void ControlPlane::passOn(std::vector<PassOn> list, Instant now)
+void ControlPlane::passOn(std::vector<RecordForward> list, Instant now)
 {
     for (std::size_t i = 0; i < list.size(); ++i) {
         const auto it = list[i]; // a copy: the list grows
         const bool isSuspected = m_members.isSuspected(it.peer, now); // then those below it are in the list
         if (sendRecords(it, now) != SendResult::Unreachable || isSuspected)
             continue;
-        const auto below = m_spread.below(m_members, it, now);
+        const auto below = m_spread.rerouteAround(m_members, it, now);
         list.insert(list.end(), below.begin(), below.end());
     }
 }
 
-SendResult ControlPlane::sendRecords(const PassOn& what, Instant now)
+SendResult ControlPlane::sendRecords(const RecordForward& what, Instant now)
 {
     proto::PeerMessage message;
-    *message.mutable_records() = m_follower.recordsFrom(what.from);
-    message.mutable_records()->set_root(what.root);
+    *message.mutable_records() = m_follower.recordsFrom(what.fromOffset);
+    message.mutable_records()->set_root(what.treeRoot);
     return sendToNode(what.peer, message, now);
 }
 
 void ControlPlane::takeRecords(const PeerSocket::Sender& sender, const proto::Records& records, Instant now)
 {
     const auto from = m_follower.nextOffset();
-    const auto progress = m_follower.takeRecords(records);
-    if (progress == ConfigFollower::Progress::NeedsEarlier)
+    const auto progress = m_follower.applyPeerRecords(records);
+    if (progress == ConfigFollower::Progress::NeedsEarlierRecords)
         pull(sender, now);
-    m_spread.heard(now);
+    m_spread.confirmUpToDate(now);
     const auto first = records.records_size() ? records.records(0).offset() : from;
     if (progress == ConfigFollower::Progress::Advanced)
         advanced(records.root(), std::min(first, from), now);
     else if (!records.root().empty())
-        passOn(m_spread.advanced(m_members, records.root(), first, m_follower.nextOffset(), now), now);
+        passOn(
+            m_spread.onOffsetAdvanced(m_members, records.root(), first, m_follower.nextOffset(), now), now);
 }
 
 void ControlPlane::pull(const PeerSocket::Sender& sender, Instant now)
@@ -73,7 +74,7 @@
     }
     if (digest.next_offset() > m_follower.nextOffset())
         return pull(sender, now);
-    m_spread.heard(now);
+    m_spread.confirmUpToDate(now);
     if (digest.next_offset() == m_follower.nextOffset())
         return;
     answerRecords(sender, digest.next_offset(), now);
--- a/src/Node/IngressAnswers.cpp
+++ b/src/Node/IngressAnswers.cpp
@@ -2,7 +2,7 @@
 #include "Core/Log.h"
 #include "Http/HttpStatus.h"
 #include "Node/Ingress.h"
-#include "Once/KeyAge.h"
+#include "Once/KeyCreationTime.h"
 #include "Wire/TicketCodec.h"
 
 #include <algorithm>
@@ -234,7 +234,7 @@
     if (call.request.wantsTicket)
         return finishTicket(id, call, now);
     const auto key = hash128(call.request.group + '\n' + call.request.service + '\n' + *call.request.key);
-    const Claim claim { key, *keyBornMs(*call.request.key), ticket };
+    const Claim claim { key, *keyCreationTimeMs(*call.request.key), ticket };
     m_claims->claim(
         claim, [this, id](const ClaimDecision& decision) { claimDecided(id, decision); }, now);
 }
--- a/src/Node/IngressTargets.cpp
+++ b/src/Node/IngressTargets.cpp
@@ -33,7 +33,7 @@
 std::vector<std::string> Ingress::ingressesBeside() const
 {
     if (m_members)
-        return m_members->names();
+        return m_members->hostNames();
     // Each host with an upstream has an ingress.
     const auto& settings = m_context->settings;
     std::set<std::string> out { settings.name };
--- a/src/Node/OperatorApi.cpp
+++ b/src/Node/OperatorApi.cpp
@@ -208,7 +208,7 @@
     resource.clear_version();
     if (fault.empty()) {
         for (const auto& it : validate(resource))
-            fault += (fault.empty() ? "" : "; ") + it.text();
+            fault += (fault.empty() ? "" : "; ") + it.toString();
     }
     if (fault.empty())
         return true;
@@ -247,9 +247,9 @@
     const proto::ChangeRecord& change, std::unique_ptr<HttpExchange> exchange, Instant now)
 {
     const auto& id = change.id();
-    m_writes.push_back({ id, targetOf(change), std::move(exchange), now, false, false });
+    m_writes.push_back({ id, targetName(change), std::move(exchange), now, false, false });
     log(LogLevel::Info, "change-written",
-        { { "id", id }, { "who", change.who() }, { "resource", targetOf(change) } });
+        { { "id", id }, { "who", change.who() }, { "resource", targetName(change) } });
     m_log->append("config", change.SerializeAsString(),
         [this, id = id](const Result<std::uint64_t, PlatformError>& offset) { appended(id, offset); });
 }
@@ -380,8 +380,8 @@
 void OperatorApi::tick(Instant now)
 {
     const auto wait = m_context->settings.control.writeWait;
-    const auto standing = m_control->follower().standing();
-    const bool isLogOut = standing == LogStanding::Unreachable;
+    const auto standing = m_control->follower().logState();
+    const bool isLogOut = standing == LogFollowState::Unreachable;
     for (auto it = m_writes.begin(); it != m_writes.end();) {
         if (now - it->since < wait) {
             ++it;
--- a/src/Node/OperatorJson.cpp
+++ b/src/Node/OperatorJson.cpp
@@ -13,15 +13,15 @@
         const NodeFacts& facts, Instant now)
     {
         const auto& follower = control.follower();
-        const bool isProven
-            = follower.standing() == LogStanding::Followed && follower.knownEnd() <= follower.nextOffset();
+        const bool isProven = follower.logState() == LogFollowState::Followed
+            && follower.knownLogEnd() <= follower.nextOffset();
         out << "{\"node\":\"" << context.settings.name << "\",\"incarnation\":\"" << context.incarnation
             << "\",\"state\":\"" << nameOf(facts.state) << "\",\"upstream\":\"" << context.settings.upstream
             << "\",\"upstream_state\":\"" << facts.upstreamState << "\",\"slots\":" << facts.load.slots
             << ",\"in_use\":" << facts.load.inUse << ",\"waiting\":" << facts.load.waiting
-            << ",\"applied\":" << follower.nextOffset() << ",\"log\":\"" << nameOf(follower.standing())
+            << ",\"applied\":" << follower.nextOffset() << ",\"log\":\"" << nameOf(follower.logState())
             << "\",\"log_id\":\"" << escapeJson(follower.logId())
-            << "\",\"known_end\":" << follower.knownEnd()
+            << "\",\"known_end\":" << follower.knownLogEnd()
             << ",\"proven_newest\":" << (isProven ? "true" : "false")
             << ",\"reader\":" << (control.isReader(now) ? "true" : "false") << ",\"digest\":\""
             << follower.state().digest() << "\",\n";
@@ -88,7 +88,7 @@
             continue;
         const auto fate = state.fateOf(change.id());
         const bool isAccepted = fate && fate->accepted() && fate->version() == it.offset() + 1;
-        out << separator << "{\"offset\":" << it.offset() << ",\"name\":\"" << targetOf(change)
+        out << separator << "{\"offset\":" << it.offset() << ",\"name\":\"" << targetName(change)
             << "\",\"who\":\"" << escapeJson(change.who())
             << "\",\"accepted\":" << (isAccepted ? "true" : "false")
             << ",\"removed\":" << (change.has_put() ? "false" : "true") << "}";
--- a/src/Node/Owner.cpp
+++ b/src/Node/Owner.cpp
@@ -228,20 +228,20 @@
 
 void Owner::takeTicket(const proto::Call& call, const Sender& sender, Reply reply, Instant now)
 {
-    const auto begin = m_tickets.begin(decode(call.ticket()), fingerprintOf(call), m_lastId + 1, now);
-    switch (begin.step) {
-    case TicketStep::Run:
+    const auto begin = m_tickets.beginCall(decode(call.ticket()), fingerprintOf(call), m_lastId + 1, now);
+    switch (begin.action) {
+    case TicketAction::Run:
         return admit(call, sender, std::move(reply), now);
-    case TicketStep::Refuse:
+    case TicketAction::Refuse:
         return refuseAtOnce(call, sender, reply, begin.reason, begin.isNotRun, now);
-    case TicketStep::Join: {
-        auto& record = m_calls.at(begin.firstId);
+    case TicketAction::Join: {
+        auto& record = m_calls.at(begin.firstCallId);
         record.replies.emplace_back(sender, std::move(reply));
         record.numbers.push_back(call.number());
         return;
     }
-    case TicketStep::Replay:
-        return replay(call, sender, reply, *begin.record, now);
+    case TicketAction::Replay:
+        return replay(call, sender, reply, *begin.answer, now);
     }
 }
 
@@ -250,9 +250,10 @@
 {
     proto::Answer answer;
     answer.set_number(call.number());
-    answer.set_outcome(recorded.isKnown ? proto::ANSWERED : proto::UNKNOWN);
-    answer.set_reason(static_cast<std::uint32_t>(recorded.isKnown ? Reason::None : Reason::BackendFailed));
-    answer.set_status(static_cast<std::uint32_t>(recorded.status));
+    answer.set_outcome(recorded.isOutcomeKnown ? proto::ANSWERED : proto::UNKNOWN);
+    answer.set_reason(
+        static_cast<std::uint32_t>(recorded.isOutcomeKnown ? Reason::None : Reason::BackendFailed));
+    answer.set_status(static_cast<std::uint32_t>(recorded.statusCode));
     for (const auto& [name, value] : recorded.headers) {
         auto& header = *answer.add_headers();
         header.set_name(name);
@@ -269,7 +270,7 @@
 {
     if (const auto length = heldBack(call, now)) {
         if (call.has_ticket())
-            m_tickets.notRun(decode(call.ticket()).nonce);
+            m_tickets.releaseTicket(decode(call.ticket()).nonce);
         return refuseAtOnce(call, sender, reply, Reason::CrashesServers, true, now, *length);
     }
     const auto id = ++m_lastId;
--- a/src/Node/OwnerAnswers.cpp
+++ b/src/Node/OwnerAnswers.cpp
@@ -62,14 +62,14 @@
         return;
     const auto nonce = decode(record.call.ticket()).nonce;
     if (answer.outcome() == proto::NOT_RUN)
-        return m_tickets.notRun(nonce);
+        return m_tickets.releaseTicket(nonce);
     RecordedAnswer recorded;
-    recorded.isKnown = answer.outcome() == proto::ANSWERED;
-    recorded.status = static_cast<int>(answer.status());
+    recorded.isOutcomeKnown = answer.outcome() == proto::ANSWERED;
+    recorded.statusCode = static_cast<int>(answer.status());
     recorded.body = answer.body();
     for (const auto& it : answer.headers())
         recorded.headers.emplace_back(it.name(), it.value());
-    m_tickets.ended(nonce, std::move(recorded));
+    m_tickets.recordAnswer(nonce, std::move(recorded));
 }
 
 void Owner::refuse(const Refusal& refusal, Instant now)
--- a/src/Once/ClaimBatcher.h
+++ b/src/Once/ClaimBatcher.h
@@ -19,7 +19,7 @@
         TooOld,
         Undecided, ///< the log is out or slow, or over budget
     };
-    std::uint64_t request = 0;
+    std::uint64_t requestId = 0;
     Kind kind = Kind::Undecided;
     Ticket winner;
 };
@@ -33,52 +33,52 @@
 class ClaimBatcher {
 public:
     struct Options {
-        std::size_t maxBatch = 200;
-        Duration gather = 3ms; ///< how long a claim waits for others
-        Duration decideWithin = 2s; ///< then it is given up as undecided
+        std::size_t maxClaimsPerBatch = 200;
+        Duration maxBatchDelay = 3ms; ///< how long a claim waits for others
+        Duration decisionTimeout = 2s; ///< then it is given up as undecided
     };
 
     ClaimBatcher(Options options, std::uint64_t incarnation, const std::string& stream);
 
     /// \brief A claim to decide. \param request number by which decisions() names it.
-    void request(std::uint64_t request, const Claim& claim, Instant now);
+    void addClaim(std::uint64_t requestId, const Claim& claim, Instant now);
 
     /// \brief Whether a batch is due: something waits and the oldest has waited long enough.
-    bool isDue(Instant now) const;
+    bool isBatchDue(Instant now) const;
 
     /// \brief Makes the next batch to append. The caller keeps the rate of appends.
-    std::optional<ClaimBatch> nextBatch(Instant now);
+    std::optional<ClaimBatch> takeNextBatch(Instant now);
 
     /// \brief The append of batch \a id failed for certain (never taken): its claims wait for the next batch.
-    void appendFailed(const std::string& id, Instant now);
+    void onAppendFailed(const std::string& batchId, Instant now);
 
     /// \brief The stream was read further: decides what \a fold now shows. \a batches are the ids just read.
-    void streamAdvanced(const ClaimFold& fold, const std::vector<std::string>& batches, std::int64_t wallMs);
+    void onStreamRead(const ClaimFold& fold, const std::vector<std::string>& batchIds, std::int64_t wallMs);
 
     /// \brief Gives up claims that have waited too long.
-    void expire(Instant now);
+    void expireOldClaims(Instant now);
 
     /// \returns decisions made since the last call.
     std::vector<ClaimDecision> takeDecisions();
 
-    std::size_t waiting() const { return m_unsent.size() + m_sent.size(); }
+    std::size_t pendingCount() const { return m_unsent.size() + m_sent.size(); }
 
 private:
-    struct Pending {
+    struct PendingClaim {
         Claim claim;
-        Instant since;
-        std::string batch;
+        Instant requestedAt;
+        std::string batchId;
     };
-    using PendingMap = std::map<std::uint64_t, Pending>;
+    using PendingClaimMap = std::map<std::uint64_t, PendingClaim>;
 
-    bool decide(std::uint64_t request, const Claim& claim, const ClaimFold& fold, std::int64_t wallMs);
-    void expireIn(PendingMap& pending, Instant now);
+    bool tryDecide(std::uint64_t requestId, const Claim& claim, const ClaimFold& fold, std::int64_t wallMs);
+    void expirePending(PendingClaimMap& pending, Instant now);
 
     Options m_options;
-    std::string m_prefix;
-    std::uint64_t m_batches = 0;
-    PendingMap m_unsent;
-    PendingMap m_sent;
+    std::string m_batchIdPrefix;
+    std::uint64_t m_batchCount = 0;
+    PendingClaimMap m_unsent;
+    PendingClaimMap m_sent;
     std::vector<ClaimDecision> m_decisions;
 };
 
--- a/src/Once/ClaimFold.cpp
+++ b/src/Once/ClaimFold.cpp
@@ -7,11 +7,11 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::int64_t forgetEveryMs = 5000;
+    constexpr std::int64_t evictionIntervalMs = 5000;
 
-    std::int64_t milliseconds(Duration d)
+    std::int64_t toWholeMilliseconds(Duration duration)
     {
-        return d.count() / 1000;
+        return duration.count() / 1000;
     }
 
 } // namespace
@@ -36,86 +36,87 @@
     return batch;
 }
 
-std::int64_t ClaimFold::lifetimeMs() const
+std::int64_t ClaimFold::keyLifetimeMs() const
 {
-    return milliseconds(m_options.keyLifetime);
+    return toWholeMilliseconds(m_options.keyLifetime);
 }
-std::int64_t ClaimFold::skewMs() const
+std::int64_t ClaimFold::maxClockSkewMs() const
 {
-    return milliseconds(m_options.clockSkew);
+    return toWholeMilliseconds(m_options.maxClockSkew);
 }
 
-void ClaimFold::follow(const LogPage& page, std::int64_t wallMs)
+void ClaimFold::updateReadPosition(const LogPage& page, std::int64_t wallMs)
 {
-    const bool isReplaced = m_hasRead && (page.logId != m_logId || page.end < m_next);
-    if (isReplaced) {
+    const bool isLogReplaced = m_hasAppliedPage && (page.logId != m_logId || page.end < m_nextOffset);
+    if (isLogReplaced) {
         // Claims that only the lost part held are gone: no key made before now can be decided.
         // The new log is read from its start; this page may begin in the middle of it.
-        m_completeSinceMs = wallMs;
-        m_next = 0;
-    } else if (!m_hasRead || page.from > m_next) {
-        m_completeSinceMs = std::max(m_completeSinceMs, page.keptSinceMs);
-        m_next = page.from;
+        m_historyCompleteSinceMs = wallMs;
+        m_nextOffset = 0;
+    } else if (!m_hasAppliedPage || page.from > m_nextOffset) {
+        m_historyCompleteSinceMs = std::max(m_historyCompleteSinceMs, page.keptSinceMs);
+        m_nextOffset = page.from;
     }
     m_logId = page.logId;
-    m_hasRead = true;
+    m_hasAppliedPage = true;
 }
 
-std::vector<std::string> ClaimFold::take(const LogPage& page, std::int64_t wallMs)
+std::vector<std::string> ClaimFold::applyPage(const LogPage& page, std::int64_t wallMs)
 {
-    follow(page, wallMs);
-    std::vector<std::string> ids;
-    if (page.from > m_next)
-        return ids;
+    updateReadPosition(page, wallMs);
+    std::vector<std::string> batchIds;
+    if (page.from > m_nextOffset)
+        return batchIds;
     std::uint64_t offset = page.from;
     for (const auto& record : page.records) {
-        if (offset++ < m_next)
+        if (offset++ < m_nextOffset)
             continue;
-        ++m_next;
+        ++m_nextOffset;
         auto batch = ClaimBatch::parse(record);
         if (!batch)
             continue;
         for (const auto& it : batch->claims) {
             // Before a key as old as this an earlier claim may have been forgotten: this one proves nothing.
-            if (mayBeFirst(it.bornMs))
-                enter(it);
+            if (hasCompleteHistoryFor(it.keyCreatedMs))
+                recordClaim(it);
         }
-        ids.push_back(std::move(batch->id));
+        batchIds.push_back(std::move(batch->id));
     }
-    forgetOld(wallMs);
-    return ids;
+    evictExpiredClaims(wallMs);
+    return batchIds;
 }
 
-bool ClaimFold::mayBeFirst(std::int64_t bornMs) const
+bool ClaimFold::hasCompleteHistoryFor(std::int64_t keyCreatedMs) const
 {
-    return bornMs >= m_completeSinceMs + skewMs();
+    return keyCreatedMs >= m_historyCompleteSinceMs + maxClockSkewMs();
 }
 
-void ClaimFold::enter(const Claim& claim)
+void ClaimFold::recordClaim(const Claim& claim)
 {
-    m_winners.try_emplace(claim.key, Winner { claim.ticket, claim.bornMs });
+    m_winners.try_emplace(claim.keyHash, Winner { claim.ticket, claim.keyCreatedMs });
 }
 
-ClaimStatus ClaimFold::status(Hash128 key, std::int64_t bornMs, std::int64_t wallMs) const
+ClaimStatus ClaimFold::status(Hash128 keyHash, std::int64_t keyCreatedMs, std::int64_t wallMs) const
 {
-    const bool isTooOld = bornMs + lifetimeMs() < wallMs;
-    const bool isFromFuture = bornMs > wallMs + skewMs();
-    const auto it = m_winners.find(key);
+    const bool isTooOld = keyCreatedMs + keyLifetimeMs() < wallMs;
+    const bool isFromFuture = keyCreatedMs > wallMs + maxClockSkewMs();
+    const auto it = m_winners.find(keyHash);
     if (it != m_winners.end() && !isTooOld)
         return { ClaimStatus::Kind::Won, it->second.ticket };
     // A key from the future would outlive the memory of its claim by as much as it is ahead.
-    if (isTooOld || isFromFuture || !m_hasRead || !mayBeFirst(bornMs))
+    if (isTooOld || isFromFuture || !m_hasAppliedPage || !hasCompleteHistoryFor(keyCreatedMs))
         return { ClaimStatus::Kind::TooOld, {} };
-    return { ClaimStatus::Kind::Free, {} };
+    return { ClaimStatus::Kind::Unclaimed, {} };
 }
 
-void ClaimFold::forgetOld(std::int64_t wallMs)
+void ClaimFold::evictExpiredClaims(std::int64_t wallMs)
 {
-    if (wallMs < m_lastForgetMs + forgetEveryMs)
+    if (wallMs < m_lastEvictionMs + evictionIntervalMs)
         return;
-    m_lastForgetMs = wallMs;
-    const auto horizon = wallMs - lifetimeMs() - 2 * skewMs();
-    std::erase_if(m_winners, [horizon](const auto& it) { return it.second.bornMs < horizon; });
+    m_lastEvictionMs = wallMs;
+    const auto oldestKeptMs = wallMs - keyLifetimeMs() - 2 * maxClockSkewMs();
+    std::erase_if(
+        m_winners, [oldestKeptMs](const auto& it) { return it.second.keyCreatedMs < oldestKeptMs; });
 }
 
 } // namespace robinrun
--- a/src/Once/ClaimFold.h
+++ b/src/Once/ClaimFold.h
@@ -17,8 +17,8 @@
 /// \brief Binds an idempotency key to a ticket. The first claim of a key by offset wins, for everybody, for
 /// ever.
 struct Claim {
-    Hash128 key; ///< hash of group, service and the caller's key
-    std::int64_t bornMs = 0; ///< from the key itself
+    Hash128 keyHash; ///< hash of group, service and the caller's key
+    std::int64_t keyCreatedMs = 0; ///< from the key itself
     Ticket ticket;
 };
 
@@ -34,7 +34,7 @@
 /// \brief What a claim stream says of a key.
 struct ClaimStatus {
     enum class Kind {
-        Free, ///< no claim so far, and none was forgotten
+        Unclaimed, ///< no claim so far, and none was forgotten
         Won, ///< by `winner`
         TooOld, ///< a claim may have been forgotten
     };
@@ -51,7 +51,7 @@
 public:
     struct Options {
         Duration keyLifetime = 600s; ///< keys older than this are refused
-        Duration clockSkew = 2s; ///< largest difference between any two wall clocks
+        Duration maxClockSkew = 2s; ///< largest difference between any two wall clocks
     };
 
     explicit ClaimFold(Options options)
@@ -61,37 +61,37 @@
     virtual ~ClaimFold() = default;
 
     /// \brief Takes what was read from nextOffset() on. \returns ids of the batches in it.
-    std::vector<std::string> take(const LogPage& page, std::int64_t wallMs);
+    std::vector<std::string> applyPage(const LogPage& page, std::int64_t wallMs);
 
-    ClaimStatus status(Hash128 key, std::int64_t bornMs, std::int64_t wallMs) const;
+    ClaimStatus status(Hash128 keyHash, std::int64_t keyCreatedMs, std::int64_t wallMs) const;
 
-    std::uint64_t nextOffset() const { return m_next; }
-    bool hasRead() const { return m_hasRead; }
+    std::uint64_t nextOffset() const { return m_nextOffset; }
+    bool hasAppliedPage() const { return m_hasAppliedPage; }
     std::size_t size() const { return m_winners.size(); }
 
 protected:
     /// \brief Enters a claim unless its key has one already. Virtual for tests that break it on purpose.
-    virtual void enter(const Claim& claim);
+    virtual void recordClaim(const Claim& claim);
 
     struct Winner {
         Ticket ticket;
-        std::int64_t bornMs;
+        std::int64_t keyCreatedMs;
     };
     std::unordered_map<Hash128, Winner, Hash128Hasher> m_winners;
 
 private:
-    void follow(const LogPage& page, std::int64_t wallMs);
-    bool mayBeFirst(std::int64_t bornMs) const;
-    void forgetOld(std::int64_t wallMs);
-    std::int64_t lifetimeMs() const;
-    std::int64_t skewMs() const;
+    void updateReadPosition(const LogPage& page, std::int64_t wallMs);
+    bool hasCompleteHistoryFor(std::int64_t keyCreatedMs) const;
+    void evictExpiredClaims(std::int64_t wallMs);
+    std::int64_t keyLifetimeMs() const;
+    std::int64_t maxClockSkewMs() const;
 
     Options m_options;
     std::string m_logId;
-    std::uint64_t m_next = 0;
-    bool m_hasRead = false;
-    std::int64_t m_completeSinceMs = 0;
-    std::int64_t m_lastForgetMs = 0;
+    std::uint64_t m_nextOffset = 0;
+    bool m_hasAppliedPage = false;
+    std::int64_t m_historyCompleteSinceMs = 0;
+    std::int64_t m_lastEvictionMs = 0;
 };
 
 } // namespace robinrun
--- a/src/Once/KeyAge.h
+++ b/src/Once/KeyCreationTime.h
@@ -12,6 +12,6 @@
 /// younger than what the log keeps is known to be new. Two forms carry a time: a UUID of version 7, and
 /// `<seconds since 1970>:<anything>`.
 /// \returns milliseconds since 1970; nothing for a key of any other form.
-std::optional<std::int64_t> keyBornMs(std::string_view key);
+std::optional<std::int64_t> keyCreationTimeMs(std::string_view key);
 
 } // namespace robinrun
--- a/src/Once/Ticket.cpp
+++ b/src/Once/Ticket.cpp
@@ -9,20 +9,20 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::size_t partCount = 5;
+    constexpr std::size_t ticketPartCount = 5;
 
-    std::string hex(std::uint64_t n)
+    std::string toHex(std::uint64_t n)
     {
         std::array<char, 17> buf {};
         std::snprintf(buf.data(), buf.size(), "%016llx", static_cast<unsigned long long>(n));
         return buf.data();
     }
 
-    std::optional<std::uint64_t> parseHex(std::string_view s)
+    std::optional<std::uint64_t> parseHex(std::string_view digits)
     {
         std::uint64_t n = 0;
-        const auto [end, ec] = std::from_chars(s.data(), s.data() + s.size(), n, 16);
-        if (s.empty() || ec != std::errc() || end != s.data() + s.size())
+        const auto [end, ec] = std::from_chars(digits.data(), digits.data() + digits.size(), n, 16);
+        if (digits.empty() || ec != std::errc() || end != digits.data() + digits.size())
             return std::nullopt;
         return n;
     }
@@ -31,7 +31,7 @@
     std::vector<std::string_view> splitFromEnd(std::string_view text)
     {
         std::vector<std::string_view> parts;
-        while (parts.size() + 1 < partCount) {
+        while (parts.size() + 1 < ticketPartCount) {
             const auto dot = text.rfind('.');
             if (dot == std::string_view::npos)
                 break;
@@ -44,16 +44,16 @@
 
 } // namespace
 
-std::string Ticket::text() const
+std::string Ticket::toString() const
 {
-    return upstream + '.' + hex(incarnation) + '.' + hex(epoch) + '.' + hex(nonce.high) + '.'
-        + hex(nonce.low);
+    return upstream + '.' + toHex(incarnation) + '.' + toHex(epoch) + '.' + toHex(nonce.high) + '.'
+        + toHex(nonce.low);
 }
 
 Result<Ticket, std::string> Ticket::parse(std::string_view text)
 {
     const auto parts = splitFromEnd(text);
-    if (parts.size() != partCount || parts[4].empty())
+    if (parts.size() != ticketPartCount || parts[4].empty())
         return failure(std::string("a ticket has the form <upstream>.<incarnation>.<epoch>.<nonce>.<nonce>"));
     const auto low = parseHex(parts[0]);
     const auto high = parseHex(parts[1]);
--- a/src/Once/Ticket.h
+++ b/src/Once/Ticket.h
@@ -19,7 +19,7 @@
     bool operator==(const Ticket&) const = default;
 
     /// \returns the form that callers hold: `<upstream>.<incarnation>.<epoch>.<nonce>`, numbers in hex.
-    std::string text() const;
+    std::string toString() const;
 
     /// \brief Reads the callers' form; the error is a sentence for them.
     static Result<Ticket, std::string> parse(std::string_view text);
--- a/src/Once/TicketTable.h
+++ b/src/Once/TicketTable.h
@@ -17,14 +17,14 @@
 
 /// \brief What a call with a ticket came to. A repeat gets the same.
 struct RecordedAnswer {
-    bool isKnown = false; ///< false: it was handed over and its outcome is not known, nor ever will be
-    int status = 0;
+    bool isOutcomeKnown = false; ///< false: it was handed over and its outcome is not known, nor ever will be
+    int statusCode = 0;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
 };
 
 /// \brief What the owner is to do with a call that carries a ticket.
-enum class TicketStep {
+enum class TicketAction {
     Run, ///< first use: run it
     Join, ///< it waits or runs already: answer this one with it
     Replay, ///< it has ended: answer with the record
@@ -42,56 +42,56 @@
 public:
     struct Options {
         Duration epochLength = 60s;
-        std::uint64_t keptEpochs = 10;
+        std::uint64_t retainedEpochs = 10;
         std::size_t maxBytes = 16U << 20U;
     };
 
-    struct Begin {
-        TicketStep step = TicketStep::Refuse;
+    struct Decision {
+        TicketAction action = TicketAction::Refuse;
         Reason reason = Reason::None; ///< of a refusal
         bool isNotRun = false; ///< whether a refusal proves that the call was not run
-        std::shared_ptr<const RecordedAnswer> record; ///< of a replay
-        std::uint64_t firstId = 0; ///< of a join: the call that was told to run
+        std::shared_ptr<const RecordedAnswer> answer; ///< of a replay
+        std::uint64_t firstCallId = 0; ///< of a join: the call that was told to run
     };
 
-    TicketTable(std::string upstream, std::uint64_t incarnation, Options options, Instant start);
+    TicketTable(std::string upstream, std::uint64_t incarnation, Options options, Instant startTime);
     virtual ~TicketTable() = default;
 
     Ticket mint(Random& random, Instant now) const;
 
     /// \brief A call with a ticket came. \param fingerprint of group, method, target and body: a ticket is
     /// good for one request only. \param id of the call, for later joins.
-    virtual Begin begin(const Ticket& ticket, Hash128 fingerprint, std::uint64_t id, Instant now);
+    virtual Decision beginCall(const Ticket& ticket, Hash128 fingerprint, std::uint64_t callId, Instant now);
 
     /// \brief The call that was told to run has ended, after it was handed to the backend server.
-    void ended(Hash128 nonce, RecordedAnswer answer);
+    void recordAnswer(Hash128 nonce, RecordedAnswer answer);
 
     /// \brief The call that was told to run was given up before it was handed over; the ticket is unused
     /// again.
-    void notRun(Hash128 nonce);
+    void releaseTicket(Hash128 nonce);
 
     std::size_t size() const { return m_entries.size(); }
-    std::size_t bytes() const { return m_bytes; }
+    std::size_t usedBytes() const { return m_usedBytes; }
 
 private:
     struct Entry {
         Hash128 fingerprint;
         std::uint64_t epoch = 0;
-        std::uint64_t firstId = 0;
-        std::shared_ptr<const RecordedAnswer> record; ///< null while it waits or runs
+        std::uint64_t firstCallId = 0;
+        std::shared_ptr<const RecordedAnswer> answer; ///< null while it waits or runs
     };
 
     std::uint64_t epochAt(Instant now) const;
-    void forgetBefore(std::uint64_t epoch);
-    void erase(Hash128 nonce);
+    void evictEpochsBefore(std::uint64_t epoch);
+    void eraseEntry(Hash128 nonce);
 
     std::string m_upstream;
     std::uint64_t m_incarnation;
     Options m_options;
-    Instant m_start;
-    std::size_t m_bytes = 0;
+    Instant m_startTime;
+    std::size_t m_usedBytes = 0;
     std::unordered_map<Hash128, Entry, Hash128Hasher> m_entries;
-    std::set<std::pair<std::uint64_t, Hash128>> m_byEpoch;
+    std::set<std::pair<std::uint64_t, Hash128>> m_noncesByEpoch;
 };
 
 } // namespace robinrun
--- a/src/Settings/YamlReader.cpp
+++ b/src/Settings/YamlReader.cpp
@@ -89,7 +89,7 @@
 std::string YamlReader::address(const std::string& field, const std::optional<std::string>& standard)
 {
     auto s = text(field, standard);
-    if (!s.empty() && !isAddress(s))
+    if (!s.empty() && !isIpv4Endpoint(s))
         fail(field, "'" + s + "' is not an IPv4 address and port");
     return s;
 }
@@ -216,7 +216,7 @@
         return out;
     }
     for (const auto& it : node) {
-        if (it.IsScalar() && isAddress(it.Scalar()))
+        if (it.IsScalar() && isIpv4Endpoint(it.Scalar()))
             out.push_back(it.Scalar());
         else
             m_errors->push_back(
--- a/src/Wire/ClaimCodec.h
+++ b/src/Wire/ClaimCodec.h
@@ -9,9 +9,9 @@
 /// \brief Writes \a claim into a message or a record.
 inline void encode(const Claim& claim, proto::Claim& out)
 {
-    out.set_key_high(claim.key.high);
-    out.set_key_low(claim.key.low);
-    out.set_born_ms(claim.bornMs);
+    out.set_key_high(claim.keyHash.high);
+    out.set_key_low(claim.keyHash.low);
+    out.set_born_ms(claim.keyCreatedMs);
     encode(claim.ticket, *out.mutable_ticket());
 }
 
--- a/test/ConfigTest.cpp
+++ b/test/ConfigTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-proto::Resource service(const std::string& name, std::uint32_t deadline = 1000)
+proto::Resource makeService(const std::string& name, std::uint32_t deadline = 1000)
 {
     proto::Resource out;
     out.set_name(name);
@@ -19,17 +19,17 @@
     return out;
 }
 
-std::string put(
+std::string putRecord(
     const std::string& id, const std::string& name, std::uint64_t base, std::uint32_t deadline = 1000)
 {
     proto::ChangeRecord out;
     out.set_id(id);
     out.set_base_version(base);
-    *out.mutable_put() = service(name, deadline);
+    *out.mutable_put() = makeService(name, deadline);
     return out.SerializeAsString();
 }
 
-std::string remove(const std::string& id, const std::string& name, std::uint64_t base)
+std::string removeRecord(const std::string& id, const std::string& name, std::uint64_t base)
 {
     proto::ChangeRecord out;
     out.set_id(id);
@@ -38,7 +38,7 @@
     return out.SerializeAsString();
 }
 
-LogPage page(
+LogPage makePage(
     std::uint64_t from, std::vector<std::string> records, std::uint64_t first = 0, std::string id = "log")
 {
     const auto end = from + records.size();
@@ -46,18 +46,18 @@
 }
 
 /// \brief Broken on purpose: takes any base version.
-class CarelessState : public ConfigState {
+class UncheckedState : public ConfigState {
 protected:
-    std::string refusalOf(const proto::ChangeRecord&) const override { return ""; }
+    std::string refusalReason(const proto::ChangeRecord&) const override { return ""; }
 };
 
 /// \brief Two writers race on one resource. \returns how many were accepted.
-int raceWinners(ConfigState& state)
+int countRaceWinners(ConfigState& state)
 {
-    const auto base = state.apply(put("first", "services/a", 0)).version();
+    const auto base = state.apply(putRecord("first", "services/a", 0)).version();
     int winners = 0;
     for (const auto* id : { "x", "y", "z" })
-        winners += state.apply(put(id, "services/a", base)).accepted();
+        winners += state.apply(putRecord(id, "services/a", base)).accepted();
     return winners;
 }
 
@@ -65,12 +65,12 @@
 
 TEST_CASE("Of racing writers exactly one wins", "[config]")
 {
-    ConfigState sound;
-    REQUIRE(raceWinners(sound) == 1);
-    REQUIRE(sound.fateOf("x")->accepted());
-    REQUIRE(sound.fateOf("y")->version() == sound.find("services/a")->version());
-    CarelessState careless;
-    REQUIRE(raceWinners(careless) != 1);
+    ConfigState correct;
+    REQUIRE(countRaceWinners(correct) == 1);
+    REQUIRE(correct.fateOf("x")->accepted());
+    REQUIRE(correct.fateOf("y")->version() == correct.find("services/a")->version());
+    UncheckedState unchecked;
+    REQUIRE(countRaceWinners(unchecked) != 1);
 }
 
 TEST_CASE(
@@ -79,41 +79,42 @@
     rc::prop("over random changes and cuts", [](std::uint64_t seed) {
         Random random(seed);
         std::vector<std::string> records;
-        ConfigState straight;
+        ConfigState reference;
         for (int i = 0; i < 60; ++i) {
             const auto name = "services/s" + std::to_string(random.below(4));
-            const auto* present = straight.find(name);
+            const auto* present = reference.find(name);
             const auto base = random.chance(0.7) ? (present ? present->version() : 0) : random.below(30);
             const auto id = "c" + std::to_string(i);
-            const auto record = random.chance(0.2) ? remove(id, name, base) : put(id, name, base, 1000 + i);
+            const auto record
+                = random.chance(0.2) ? removeRecord(id, name, base) : putRecord(id, name, base, 1000 + i);
             records.push_back(record);
-            straight.apply(record);
+            reference.apply(record);
         }
         ConfigFollower source;
-        source.takePage(page(0, records));
+        source.applyLogPage(makePage(0, records));
         ConfigFollower follower;
-        std::uint64_t last = 0;
+        std::uint64_t lastOffset = 0;
         while (follower.nextOffset() < records.size()) {
             const auto next = follower.nextOffset();
             const auto from = random.chance(0.3) ? random.below(next + 1) : next;
             const auto to = std::min<std::size_t>(records.size(), from + 1 + random.below(10));
             if (random.chance(0.5)) {
-                auto cut = page(from, { records.begin() + long(from), records.begin() + long(to) });
+                auto cut = makePage(from, { records.begin() + long(from), records.begin() + long(to) });
                 cut.end = records.size();
-                follower.takePage(cut);
+                follower.applyLogPage(cut);
             } else {
                 auto fromPeer = source.recordsFrom(from);
                 while (fromPeer.records_size() > 5)
                     fromPeer.mutable_records()->RemoveLast();
-                follower.takeRecords(fromPeer);
+                follower.applyPeerRecords(fromPeer);
             }
-            RC_ASSERT(follower.nextOffset() >= last);
-            last = follower.nextOffset();
+            RC_ASSERT(follower.nextOffset() >= lastOffset);
+            lastOffset = follower.nextOffset();
         }
-        RC_ASSERT(follower.state().digest() == straight.digest());
+        RC_ASSERT(follower.state().digest() == reference.digest());
         ConfigState restored;
-        restored.restore(straight.snapshot());
-        RC_ASSERT(restored.digest() == straight.digest());
+        restored.restore(reference.snapshot());
+        RC_ASSERT(restored.digest() == reference.digest());
         RC_ASSERT(!restored.restore(source.state().snapshot()));
     });
 }
@@ -121,18 +122,20 @@
 TEST_CASE("A log that comes back shorter or as another one is reported, not followed", "[config]")
 {
     ConfigFollower follower;
-    follower.takePage(page(0, { put("1", "services/a", 0), put("2", "services/b", 0) }));
+    follower.applyLogPage(makePage(0, { putRecord("1", "services/a", 0), putRecord("2", "services/b", 0) }));
     const auto digest = follower.state().digest();
-    follower.takePage(page(0, { put("9", "services/z", 0) }));
-    REQUIRE(follower.standing() == LogStanding::Shorter);
-    auto other = page(0, { put("7", "services/x", 0), put("8", "services/y", 0), put("9", "services/z", 0) });
+    follower.applyLogPage(makePage(0, { putRecord("9", "services/z", 0) }));
+    REQUIRE(follower.logState() == LogFollowState::Diverged);
+    auto other = makePage(0,
+        { putRecord("7", "services/x", 0), putRecord("8", "services/y", 0),
+            putRecord("9", "services/z", 0) });
     other.logId = "another";
-    follower.takePage(other);
-    REQUIRE(follower.standing() == LogStanding::Shorter);
+    follower.applyLogPage(other);
+    REQUIRE(follower.logState() == LogFollowState::Diverged);
     REQUIRE(follower.state().digest() == digest);
     proto::Records foreign;
     foreign.set_log_id("another");
-    REQUIRE(follower.takeRecords(foreign) == ConfigFollower::Progress::None);
+    REQUIRE(follower.applyPeerRecords(foreign) == ConfigFollower::Progress::None);
 }
 
 TEST_CASE("After the log forgot, a fresh follower starts from a snapshot and loses nothing", "[config]")
@@ -140,25 +143,26 @@
     ConfigFollower writer;
     std::vector<std::string> records;
     for (int i = 0; i < 10; ++i)
-        records.push_back(put("c" + std::to_string(i), "services/s" + std::to_string(i), 0));
-    writer.takePage(page(0, records));
+        records.push_back(putRecord("c" + std::to_string(i), "services/s" + std::to_string(i), 0));
+    writer.applyLogPage(makePage(0, records));
     proto::ChangeRecord snapshot;
     snapshot.set_id("snapshot");
     *snapshot.mutable_snapshot() = writer.state().snapshot();
-    records.push_back(put("between", "services/between", 0)); // appended while the snapshot was on its way
+    records.push_back(
+        putRecord("between", "services/between", 0)); // appended while the snapshot was on its way
     records.push_back(snapshot.SerializeAsString());
-    records.push_back(put("after", "services/after", 0));
-    writer.takePage(page(0, records));
-    ConfigFollower late;
+    records.push_back(putRecord("after", "services/after", 0));
+    writer.applyLogPage(makePage(0, records));
+    ConfigFollower lateFollower;
     const std::size_t first = 9;
-    REQUIRE(late.takePage(page(first, { records.begin() + 9, records.begin() + 11 }, first))
+    REQUIRE(lateFollower.applyLogPage(makePage(first, { records.begin() + 9, records.begin() + 11 }, first))
         == ConfigFollower::Progress::None);
-    REQUIRE(late.standing() == LogStanding::Gap);
-    REQUIRE(late.readFrom() == 11);
-    late.takePage(page(11, { records.begin() + 11, records.end() }, first));
-    REQUIRE(late.standing() == LogStanding::Followed);
-    REQUIRE(late.nextOffset() == records.size());
-    REQUIRE(late.state().digest() == writer.state().digest());
+    REQUIRE(lateFollower.logState() == LogFollowState::Gap);
+    REQUIRE(lateFollower.nextReadOffset() == 11);
+    lateFollower.applyLogPage(makePage(11, { records.begin() + 11, records.end() }, first));
+    REQUIRE(lateFollower.logState() == LogFollowState::Followed);
+    REQUIRE(lateFollower.nextOffset() == records.size());
+    REQUIRE(lateFollower.state().digest() == writer.state().digest());
 }
 
 TEST_CASE("A snapshot is due well before what is needed is forgotten", "[config]")
@@ -166,17 +170,17 @@
     ConfigFollower follower;
     std::vector<std::string> records;
     for (int i = 0; i < 100; ++i)
-        records.push_back(put("c" + std::to_string(i), "services/s", 0));
-    follower.takePage(page(0, records));
+        records.push_back(putRecord("c" + std::to_string(i), "services/s", 0));
+    follower.applyLogPage(makePage(0, records));
     REQUIRE_FALSE(follower.needsSnapshot());
-    auto trimmed = page(100, {}, 20);
-    follower.takePage(trimmed);
+    auto trimmed = makePage(100, {}, 20);
+    follower.applyLogPage(trimmed);
     REQUIRE(follower.needsSnapshot());
 }
 
 TEST_CASE("A resource is checked whole, by field", "[config]")
 {
-    REQUIRE(validate(service("services/a")).empty());
+    REQUIRE(validate(makeService("services/a")).empty());
     proto::Resource bad;
     bad.set_name("services/Bad Name");
     auto& it = *bad.mutable_service();
@@ -184,14 +188,14 @@
     it.add_classes()->set_path_prefix("x");
     std::string all;
     for (const auto& error : validate(bad))
-        all += error.text() + "\n";
+        all += error.toString() + "\n";
     for (const auto* field : { "name:", "service.deadline_ms:", "service.retry_fraction:",
              "service.queue_limit:", "service.classes[0].name:", "service.classes[0].path_prefix:" })
         REQUIRE(all.find(field) != std::string::npos);
-    REQUIRE(isAddress("127.0.0.1:80"));
+    REQUIRE(isIpv4Endpoint("127.0.0.1:80"));
     for (const auto* address :
         { "", "localhost:80", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:70000", "1.2.3:4" })
-        REQUIRE_FALSE(isAddress(address));
+        REQUIRE_FALSE(isIpv4Endpoint(address));
 }
 
 TEST_CASE("YAML and JSON read into the schema, patches replace what they name", "[config]")
--- a/test/ControlTest.cpp
+++ b/test/ControlTest.cpp
@@ -1,4 +1,4 @@
-#include "Control/InForceTree.h"
+#include "Control/InForceAggregator.h"
 #include "Control/Tree.h"
 #include "support/ControlModel.h"
 
@@ -13,7 +13,7 @@
 /// In force everywhere within this, from the append or from the end of what stood in the way.
 constexpr Duration inForceBound = 9s;
 
-ControlModel::Options oneRegion(int halls, int nodesPerHall)
+ControlModel::Options oneRegionOptions(int halls, int nodesPerHall)
 {
     ControlModel::Options options;
     options.regions = 1;
@@ -28,16 +28,16 @@
 {
     ControlModel model(1, {});
     model.run(10s);
-    const auto reads = model.logReads();
-    model.write(0, "services/a", 0);
+    const auto readCount = model.logReadCount();
+    model.appendChange(0, "services/a", 0);
     const auto written = model.loop().now();
     model.run(inForceBound);
-    REQUIRE(model.isSettled());
+    REQUIRE(model.hasConverged());
     for (std::size_t i = 0; i < model.size(); ++i)
         REQUIRE(*model.appliedAt(i, 0) - written <= 3s);
     // 4 halls with 2 readers each hold one read open; nobody else asks the log.
-    INFO(model.logReads() - reads);
-    REQUIRE(model.bytes() / model.size() / 20 < 7000);
+    INFO(model.logReadCount() - readCount);
+    REQUIRE(model.sentBytes() / model.size() / 20 < 7000);
 }
 
 TEST_CASE(
@@ -52,22 +52,22 @@
         auto& random = model.random();
         model.run(5s);
         const auto start = model.loop().now();
-        const auto any = [&](double seconds) { return start + fromSeconds(random.unit() * seconds); };
+        const auto randomTime = [&](double seconds) { return start + fromSeconds(random.unit() * seconds); };
         for (int i = 0; i < 30; ++i) {
-            model.loop().at(any(30), [&] {
+            model.loop().at(randomTime(30), [&] {
                 const auto writer = random.below(model.size());
                 if (!model.isLive(writer))
                     return;
                 const auto name = "services/s" + std::to_string(random.below(3));
                 const auto* present = model.plane(writer).follower().state().find(name);
                 const auto base = present ? present->version() : 0;
-                model.write(writer, name, base);
-                model.write((writer + 1) % model.size(), name, base);
+                model.appendChange(writer, name, base);
+                model.appendChange((writer + 1) % model.size(), name, base);
             });
         }
         for (int i = 0; i < 6; ++i) {
             const auto victim = random.below(model.size());
-            const auto when = any(25);
+            const auto when = randomTime(25);
             model.loop().at(when, [&model, victim] {
                 if (model.isLive(victim))
                     model.stop(victim);
@@ -77,14 +77,15 @@
                     model.start(victim);
             });
             const auto paused = random.below(model.size());
-            model.loop().at(any(25), [&model, paused] { model.pause(paused, model.loop().now() + 4s); });
+            model.loop().at(
+                randomTime(25), [&model, paused] { model.pause(paused, model.loop().now() + 4s); });
         }
-        model.loop().at(any(20), [&model] { model.log().outageUntil(model.loop().now() + 8s); });
-        model.loop().at(any(20), [&model] { model.cutRegion(1, model.loop().now() + 8s); });
+        model.loop().at(randomTime(20), [&model] { model.log().outageUntil(model.loop().now() + 8s); });
+        model.loop().at(randomTime(20), [&model] { model.cutRegion(1, model.loop().now() + 8s); });
         model.run(35s + inForceBound);
         INFO("seed " << seed);
-        REQUIRE(model.isSettled());
-        REQUIRE(model.backwardSteps() == 0);
+        REQUIRE(model.hasConverged());
+        REQUIRE(model.offsetDecreases() == 0);
     }
 }
 
@@ -93,9 +94,9 @@
     ControlModel model(7, {});
     model.run(3s);
     for (int i = 0; i < 5; ++i)
-        model.write(0, "services/s" + std::to_string(i), 0);
+        model.appendChange(0, "services/s" + std::to_string(i), 0);
     model.run(5s);
-    REQUIRE(model.isSettled());
+    REQUIRE(model.hasConverged());
     model.log().outageUntil(model.loop().now() + 20s);
     for (std::size_t i = 1; i < model.size(); ++i) {
         model.stop(i);
@@ -103,7 +104,7 @@
     }
     // One node is left with the state: the others take it from there, without the log.
     model.run(10s);
-    REQUIRE(model.isSettled());
+    REQUIRE(model.hasConverged());
     for (std::size_t i = 0; i < model.size(); ++i) {
         model.stop(i);
         model.start(i);
@@ -111,9 +112,9 @@
     // Nobody has it any more: nothing is served until the log is back.
     model.run(5s);
     REQUIRE(model.plane(3).follower().nextOffset() == 0);
-    REQUIRE(model.plane(3).follower().standing() != LogStanding::Followed);
+    REQUIRE(model.plane(3).follower().logState() != LogFollowState::Followed);
     model.run(10s + inForceBound);
-    REQUIRE(model.isSettled());
+    REQUIRE(model.hasConverged());
 }
 
 TEST_CASE("The log forgets: snapshots are appended in time, and late nodes still find all", "[control]")
@@ -121,7 +122,7 @@
     ControlModel model(5, {});
     model.run(3s);
     for (int i = 0; i < 700; ++i) {
-        model.write(0, "services/s" + std::to_string(i % 50), 0);
+        model.appendChange(0, "services/s" + std::to_string(i % 50), 0);
         model.run(50ms);
     }
     model.run(60s);
@@ -133,7 +134,7 @@
         model.start(i);
     }
     model.run(20s);
-    REQUIRE(model.isSettled());
+    REQUIRE(model.hasConverged());
     REQUIRE(model.plane(2).follower().state().resources().size() == 50);
 }
 
@@ -141,7 +142,7 @@
 {
     ControlModel model(3, {});
     model.run(5s);
-    model.write(0, "services/a", 0);
+    model.appendChange(0, "services/a", 0);
     model.run(20s);
     proto::InForce total;
     const auto count = [&] {
@@ -152,7 +153,7 @@
     REQUIRE(total.nodes() == model.size());
     REQUIRE(total.min_next_offset() == 1);
     model.pause(9, model.loop().now() + 60s);
-    model.write(0, "services/b", 0);
+    model.appendChange(0, "services/b", 0);
     model.run(8s);
     count();
     REQUIRE(total.min_next_offset() == 1);
@@ -162,16 +163,17 @@
 TEST_CASE("A restarted node is passed new records again within a second or two", "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        ControlModel model(seed, oneRegion(1, 60)); // so that random digests alone rarely reach its parents
+        ControlModel model(
+            seed, oneRegionOptions(1, 60)); // so that random digests alone rarely reach its parents
         model.run(5s);
         const std::size_t victim = seed % model.size();
         model.stop(victim);
         // Its parents find out that it is gone while they pass something on.
-        model.write((victim + 1) % model.size(), "services/a", 0);
+        model.appendChange((victim + 1) % model.size(), "services/a", 0);
         model.run(3s);
         model.start(victim);
         model.run(1s);
-        model.write((victim + 1) % model.size(), "services/b", 0);
+        model.appendChange((victim + 1) % model.size(), "services/b", 0);
         model.run(1500ms);
         INFO("seed " << seed);
         REQUIRE(model.plane(victim).follower().nextOffset() == 2);
@@ -181,15 +183,15 @@
 TEST_CASE("A change made while a node restarts is in force there before links to it stand again", "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        ControlModel model(seed, oneRegion(2, 50));
+        ControlModel model(seed, oneRegionOptions(2, 50));
         model.run(5s);
-        model.write(1, "services/a", 0);
+        model.appendChange(1, "services/a", 0);
         model.run(30s);
         const std::size_t victim = seed % model.size();
         model.stop(victim);
         model.start(victim);
         model.run(500ms);
-        model.write((victim + 1) % model.size(), "services/b", 0);
+        model.appendChange((victim + 1) % model.size(), "services/b", 0);
         model.run(1500ms);
         INFO("seed " << seed);
         REQUIRE(model.plane(victim).follower().nextOffset() == 2);
@@ -199,18 +201,18 @@
 TEST_CASE("Those below a host that turns out to be gone are served at once", "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        auto options = oneRegion(1, 60);
-        options.loss = 0;
+        auto options = oneRegionOptions(1, 60);
+        options.lossProbability = 0;
         ControlModel model(seed, options);
         model.run(5s);
-        model.write(1, "services/a", 0);
+        model.appendChange(1, "services/a", 0);
         model.run(30s);
         for (std::size_t i = seed; i < model.size(); i += 10)
             model.stop(i);
-        model.write(0, "services/b", 0);
+        model.appendChange(0, "services/b", 0);
         model.run(300ms);
         INFO("seed " << seed);
-        REQUIRE(model.isSettled());
+        REQUIRE(model.hasConverged());
     }
 }
 
@@ -223,16 +225,16 @@
         names.push_back("n" + std::to_string(i));
         page.hosts.push_back({ names.back(), "a", "hall", "region", false });
     }
-    members.take(page);
+    members.applyPage(page);
     const auto ranked = rankByHash(names, "hall");
-    Spread::Options options;
+    ConfigDisseminator::Options options;
     options.fanOut = 4;
-    Spread spread(options, *members.find(ranked[0]), 1, {});
+    ConfigDisseminator spread(options, *members.find(ranked[0]), 1, {});
     const auto children = treeChildren(ranked, ranked[0], ranked[0], 4);
     const auto below = treeChildren(ranked, ranked[0], children[1], 4);
     members.suspect(children[1], {});
     std::set<std::string> served;
-    for (const auto& it : spread.advanced(members, "", 0, 1, {}))
+    for (const auto& it : spread.onOffsetAdvanced(members, "", 0, 1, {}))
         served.insert(it.peer);
     std::set<std::string> expected(children.begin(), children.end());
     expected.insert(below.begin(), below.end());
@@ -246,27 +248,27 @@
     options.bytesPerSecond = 1; // far less than the digests and counts would take
     ControlModel model(4, options);
     model.run(300s);
-    model.write(0, "services/a", 0);
+    model.appendChange(0, "services/a", 0);
     model.run(300s);
-    REQUIRE(model.isSettled());
-    constexpr double configurationOnCredit = 2000;
-    for (const auto& [node, bytes] : model.bytesByNode())
-        REQUIRE(double(bytes) <= options.bytesPerSecond * (600 + 10) + configurationOnCredit);
+    REQUIRE(model.hasConverged());
+    constexpr double unbudgetedConfigBytes = 2000;
+    for (const auto& [node, bytes] : model.sentBytesByNode())
+        REQUIRE(double(bytes) <= options.bytesPerSecond * (600 + 10) + unbudgetedConfigBytes);
 }
 
 TEST_CASE("A wrong suspicion heals by itself", "[control]")
 {
     Membership members({});
-    members.take({ 1, true, { { "a", "1", "h", "r", false }, { "b", "2", "h", "r", true } }, {} });
+    members.applyPage({ 1, true, { { "a", "1", "h", "r", false }, { "b", "2", "h", "r", true } }, {} });
     REQUIRE(members.isLive("a", {}));
     REQUIRE_FALSE(members.isLive("b", {}));
     members.suspect("a", {});
     REQUIRE_FALSE(members.isLive("a", Instant(9s)));
     REQUIRE(members.isLive("a", Instant(11s)));
     members.suspect("a", Instant(11s));
-    members.heardFrom("a");
+    members.clearSuspicion("a");
     REQUIRE(members.isLive("a", Instant(12s)));
-    REQUIRE_FALSE(members.take({ 1, true, {}, {} }));
+    REQUIRE_FALSE(members.applyPage({ 1, true, {}, {} }));
     REQUIRE(members.size() == 2);
 }
 
@@ -282,15 +284,15 @@
             page.gone.push_back(name);
         else
             page.hosts.push_back({ name, std::to_string(version), "h", "r", false });
-        source.take(page);
+        source.applyPage(page);
         if (!random.chance(0.2))
             continue;
         const auto since = copy.version();
-        const auto changes = *source.pageSince(since);
+        const auto changes = *source.changesSince(since);
         REQUIRE(changes.isWhole == (since == 0));
-        copy.take(changes);
-        REQUIRE(copy.names() == source.names());
-        REQUIRE_FALSE(source.pageSince(copy.version()));
+        copy.applyPage(changes);
+        REQUIRE(copy.hostNames() == source.hostNames());
+        REQUIRE_FALSE(source.changesSince(copy.version()));
     }
 }
 
@@ -302,13 +304,13 @@
     const auto ranked = rankByHash(names, "hall");
     for (const auto& root : { ranked[0], ranked[57], std::string("stranger") }) {
         std::set<std::string> reached { root };
-        std::vector<std::string> open { root };
-        while (!open.empty()) {
-            const auto self = open.back();
-            open.pop_back();
+        std::vector<std::string> unvisited { root };
+        while (!unvisited.empty()) {
+            const auto self = unvisited.back();
+            unvisited.pop_back();
             for (const auto& it : treeChildren(ranked, root, self, 8)) {
                 REQUIRE(reached.insert(it).second);
-                open.push_back(it);
+                unvisited.push_back(it);
             }
         }
         REQUIRE(reached.size() == (root == "stranger" ? 101 : 100));
@@ -317,7 +319,7 @@
 
 TEST_CASE("Counts are bounded and never overstate what is in force", "[control]")
 {
-    InForceTree tree(10s);
+    InForceAggregator tree(10s);
     for (int i = 0; i < 40; ++i) {
         proto::InForce child;
         child.set_nodes(2);
@@ -326,17 +328,17 @@
         auto& it = *child.add_counts();
         it.set_next_offset(100 + i);
         it.set_nodes(2);
-        tree.take("c" + std::to_string(i), child, {});
+        tree.recordReport("c" + std::to_string(i), child, {});
     }
-    const auto sum = tree.sum("self", 200, {}, {});
+    const auto sum = tree.aggregate("self", 200, {}, {});
     REQUIRE(sum.nodes() == 81);
-    REQUIRE(sum.counts_size() == InForceTree::maxCounts);
+    REQUIRE(sum.counts_size() == InForceAggregator::maxCounts);
     for (std::uint64_t offset = 100; offset <= 200; ++offset) {
-        std::uint32_t shown = 0;
+        std::uint32_t counted = 0;
         for (const auto& it : sum.counts())
-            shown += it.next_offset() >= offset ? it.nodes() : 0;
-        const std::uint32_t real = 1 + (offset < 140 ? 2 * (140 - static_cast<std::uint32_t>(offset)) : 0);
-        REQUIRE(shown <= real);
+            counted += it.next_offset() >= offset ? it.nodes() : 0;
+        const std::uint32_t reached = 1 + (offset < 140 ? 2 * (140 - static_cast<std::uint32_t>(offset)) : 0);
+        REQUIRE(counted <= reached);
     }
-    REQUIRE(tree.sum("self", 200, {}, Instant(11s)).nodes() == 1);
+    REQUIRE(tree.aggregate("self", 200, {}, Instant(11s)).nodes() == 1);
 }
--- a/test/IngressTest.cpp
+++ b/test/IngressTest.cpp
@@ -115,7 +115,7 @@
     f.reply.reset();
     f.caller->send(
         { "POST", "/s/buy",
-            { { "Robinrun-Credential", support::secret }, { "Robinrun-Ticket", ticket.text() } }, "x" },
+            { { "Robinrun-Credential", support::secret }, { "Robinrun-Ticket", ticket.toString() } }, "x" },
         9s, [&](auto result) { f.reply = result.value(); });
     REQUIRE(f.outcome() == "unknown");
     f.reply.reset();
--- a/test/OnceTest.cpp
+++ b/test/OnceTest.cpp
@@ -1,6 +1,6 @@
 #include "Once/ClaimBatcher.h"
 #include "Once/ClaimFold.h"
-#include "Once/KeyAge.h"
+#include "Once/KeyCreationTime.h"
 #include "Once/TicketTable.h"
 #include "Wire/SeenCalls.h"
 #include "support/OnceModel.h"
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::int64_t wall = 1700000000000;
+constexpr std::int64_t baseWallMs = 1700000000000;
 
-LogPage page(std::uint64_t from, const std::vector<Claim>& claims, std::string logId = "log")
+LogPage makePage(std::uint64_t from, const std::vector<Claim>& claims, std::string logId = "log")
 {
     LogPage out { std::move(logId), from, 0, from + claims.size(), 0, {} };
     for (const auto& it : claims)
@@ -23,9 +23,9 @@
     return out;
 }
 
-Claim claim(std::uint64_t key, std::uint64_t nonce, std::int64_t born = wall)
+Claim makeClaim(std::uint64_t key, std::uint64_t nonce, std::int64_t keyCreatedMs = baseWallMs)
 {
-    return { { 0, key }, born, { "u", 1, 0, { 0, nonce } } };
+    return { { 0, key }, keyCreatedMs, { "u", 1, 0, { 0, nonce } } };
 }
 
 /// \brief Broken on purpose: the last claim wins.
@@ -37,34 +37,34 @@
     }
 
 protected:
-    void enter(const Claim& it) override { m_winners[it.key] = { it.ticket, it.bornMs }; }
+    void recordClaim(const Claim& it) override { m_winners[it.keyHash] = { it.ticket, it.keyCreatedMs }; }
 };
 
 /// \brief Broken on purpose: tickets of a former incarnation are taken.
-class ForgetfulTable : public TicketTable {
+class IncarnationBlindTable : public TicketTable {
 public:
-    ForgetfulTable(std::string upstream, std::uint64_t incarnation, Instant now)
+    IncarnationBlindTable(std::string upstream, std::uint64_t incarnation, Instant now)
         : TicketTable(upstream, incarnation, { 500ms, 4, 1U << 20U }, now)
         , m_incarnation(incarnation)
     {
     }
-    Begin begin(const Ticket& ticket, Hash128 fingerprint, std::uint64_t id, Instant now) override
+    Decision beginCall(const Ticket& ticket, Hash128 fingerprint, std::uint64_t id, Instant now) override
     {
         auto own = ticket;
         own.incarnation = m_incarnation;
         own.epoch = 0;
-        return TicketTable::begin(own, fingerprint, id, now);
+        return TicketTable::beginCall(own, fingerprint, id, now);
     }
 
 private:
     std::uint64_t m_incarnation;
 };
 
-int badSchedules(const OnceModel::Parts& parts, int n)
+int countBadSchedules(const OnceModel::Parts& parts, int n)
 {
     int bad = 0;
     for (int seed = 1; seed <= n; ++seed)
-        bad += !OnceModel(static_cast<std::uint64_t>(seed), parts).run().isGood();
+        bad += !OnceModel(static_cast<std::uint64_t>(seed), parts).run().hasNoViolation();
     return bad;
 }
 
@@ -72,19 +72,19 @@
 
 TEST_CASE("Nothing runs twice and no 'not run' is false, under random faults", "[once]")
 {
-    REQUIRE(badSchedules(OnceModel::soundParts(), 3000) == 0);
+    REQUIRE(countBadSchedules(OnceModel::correctParts(), 3000) == 0);
 }
 
 TEST_CASE("The same schedules catch parts that are broken on purpose", "[once]")
 {
-    auto parts = OnceModel::soundParts();
-    parts.fold = [] { return std::make_unique<LastWinsFold>(); };
-    REQUIRE(badSchedules(parts, 300) > 0);
-    parts = OnceModel::soundParts();
-    parts.table = [](std::string upstream, std::uint64_t incarnation, Instant now) {
-        return std::make_unique<ForgetfulTable>(std::move(upstream), incarnation, now);
+    auto parts = OnceModel::correctParts();
+    parts.makeFold = [] { return std::make_unique<LastWinsFold>(); };
+    REQUIRE(countBadSchedules(parts, 300) > 0);
+    parts = OnceModel::correctParts();
+    parts.makeTable = [](std::string upstream, std::uint64_t incarnation, Instant now) {
+        return std::make_unique<IncarnationBlindTable>(std::move(upstream), incarnation, now);
     };
-    REQUIRE(badSchedules(parts, 300) > 0);
+    REQUIRE(countBadSchedules(parts, 300) > 0);
 }
 
 TEST_CASE("A ticket runs once; repeats join it, then get its record", "[once]")
@@ -93,15 +93,15 @@
     TicketTable table("u", 7, {}, {});
     const auto ticket = table.mint(random, {});
     const Hash128 request { 1, 1 };
-    REQUIRE(table.begin(ticket, request, 1, {}).step == TicketStep::Run);
-    const auto joined = table.begin(ticket, request, 2, {});
-    REQUIRE(joined.step == TicketStep::Join);
-    REQUIRE(joined.firstId == 1);
-    const auto other = table.begin(ticket, { 2, 2 }, 3, {});
+    REQUIRE(table.beginCall(ticket, request, 1, {}).action == TicketAction::Run);
+    const auto joined = table.beginCall(ticket, request, 2, {});
+    REQUIRE(joined.action == TicketAction::Join);
+    REQUIRE(joined.firstCallId == 1);
+    const auto other = table.beginCall(ticket, { 2, 2 }, 3, {});
     REQUIRE(other.reason == Reason::TicketMismatch);
     REQUIRE(other.isNotRun);
-    table.ended(ticket.nonce, { true, 200, {}, "done" });
-    REQUIRE(table.begin(ticket, request, 4, {}).record->body == "done");
+    table.recordAnswer(ticket.nonce, { true, 200, {}, "done" });
+    REQUIRE(table.beginCall(ticket, request, 4, {}).answer->body == "done");
 }
 
 TEST_CASE("A ticket given up before it ran may run later", "[once]")
@@ -109,11 +109,11 @@
     Random random(1);
     TicketTable table("u", 7, {}, {});
     const auto ticket = table.mint(random, {});
-    table.begin(ticket, {}, 1, {});
-    table.notRun(ticket.nonce);
+    table.beginCall(ticket, {}, 1, {});
+    table.releaseTicket(ticket.nonce);
     REQUIRE(table.size() == 0);
-    REQUIRE(table.bytes() == 0);
-    REQUIRE(table.begin(ticket, {}, 2, {}).step == TicketStep::Run);
+    REQUIRE(table.usedBytes() == 0);
+    REQUIRE(table.beginCall(ticket, {}, 2, {}).action == TicketAction::Run);
 }
 
 TEST_CASE("A ticket of another incarnation, or too old, is unknown for ever", "[once]")
@@ -123,28 +123,28 @@
     auto ticket = table.mint(random, {});
     auto former = ticket;
     former.incarnation = 6;
-    REQUIRE(table.begin(former, {}, 1, {}).reason == Reason::TicketUnknown);
-    REQUIRE_FALSE(table.begin(former, {}, 1, {}).isNotRun);
-    table.begin(ticket, {}, 1, {});
-    table.ended(ticket.nonce, {});
-    REQUIRE(table.begin(ticket, {}, 2, Instant(659s)).step == TicketStep::Replay);
-    REQUIRE(table.begin(ticket, {}, 2, Instant(660s)).reason == Reason::TicketUnknown);
+    REQUIRE(table.beginCall(former, {}, 1, {}).reason == Reason::TicketUnknown);
+    REQUIRE_FALSE(table.beginCall(former, {}, 1, {}).isNotRun);
+    table.beginCall(ticket, {}, 1, {});
+    table.recordAnswer(ticket.nonce, {});
+    REQUIRE(table.beginCall(ticket, {}, 2, Instant(659s)).action == TicketAction::Replay);
+    REQUIRE(table.beginCall(ticket, {}, 2, Instant(660s)).reason == Reason::TicketUnknown);
     REQUIRE(table.size() == 0);
     // Memory is bounded: new tickets are refused as not run, live records stay.
     const auto first = table.mint(random, Instant(700s));
-    REQUIRE(table.begin(first, {}, 1, Instant(700s)).step == TicketStep::Run);
-    table.ended(first.nonce, { true, 200, {}, std::string(1000, 'x') });
-    const auto full = table.begin(table.mint(random, Instant(700s)), {}, 2, Instant(700s));
+    REQUIRE(table.beginCall(first, {}, 1, Instant(700s)).action == TicketAction::Run);
+    table.recordAnswer(first.nonce, { true, 200, {}, std::string(1000, 'x') });
+    const auto full = table.beginCall(table.mint(random, Instant(700s)), {}, 2, Instant(700s));
     REQUIRE(full.reason == Reason::TooManyTickets);
     REQUIRE(full.isNotRun);
-    REQUIRE(table.begin(first, {}, 3, Instant(700s)).step == TicketStep::Replay);
+    REQUIRE(table.beginCall(first, {}, 3, Instant(700s)).action == TicketAction::Replay);
 }
 
 TEST_CASE("Tickets survive the way to the caller and back", "[once]")
 {
     rc::prop("text and back", [](std::uint64_t a, std::uint64_t b, std::uint64_t c, std::uint64_t d) {
         const Ticket ticket { "cards-1.riga", a, b, { c, d } };
-        RC_ASSERT(Ticket::parse(ticket.text()).value() == ticket);
+        RC_ASSERT(Ticket::parse(ticket.toString()).value() == ticket);
     });
     for (const auto* bad : { "", "x", "u.1.2.3", "u.1.2.3.zz", ".1.2.3.4" })
         REQUIRE_FALSE(Ticket::parse(bad).has_value());
@@ -153,62 +153,63 @@
 TEST_CASE("The first claim by offset wins, and a losing claim wins nothing later", "[once]")
 {
     ClaimFold fold({ 600s, 2s });
-    fold.take(page(0, { claim(1, 10), claim(1, 11) }), wall);
-    REQUIRE(fold.status({ 0, 1 }, wall, wall).winner.nonce.low == 10);
-    REQUIRE(fold.status({ 0, 2 }, wall, wall).kind == ClaimStatus::Kind::Free);
-    // Another fold starts after the log forgot the first claim: it must not take the second for it.
+    fold.applyPage(makePage(0, { makeClaim(1, 10), makeClaim(1, 11) }), baseWallMs);
+    REQUIRE(fold.status({ 0, 1 }, baseWallMs, baseWallMs).winner.nonce.low == 10);
+    REQUIRE(fold.status({ 0, 2 }, baseWallMs, baseWallMs).kind == ClaimStatus::Kind::Unclaimed);
+    // Another fold starts after the log forgot the first claim: it must not take
+    // the second for it.
     ClaimFold late({ 600s, 2s });
-    auto rest = page(1, { claim(1, 11) });
+    auto rest = makePage(1, { makeClaim(1, 11) });
     rest.first = 1;
-    rest.keptSinceMs = wall + 1;
-    late.take(rest, wall + 10);
-    REQUIRE(late.status({ 0, 1 }, wall, wall + 10).kind == ClaimStatus::Kind::TooOld);
-    REQUIRE(late.status({ 0, 5 }, wall + 5000, wall + 5000).kind == ClaimStatus::Kind::Free);
+    rest.keptSinceMs = baseWallMs + 1;
+    late.applyPage(rest, baseWallMs + 10);
+    REQUIRE(late.status({ 0, 1 }, baseWallMs, baseWallMs + 10).kind == ClaimStatus::Kind::TooOld);
+    REQUIRE(late.status({ 0, 5 }, baseWallMs + 5000, baseWallMs + 5000).kind == ClaimStatus::Kind::Unclaimed);
 }
 
 TEST_CASE("A replaced log is read from its start and decides no older key", "[once]")
 {
     ClaimFold fold({ 600s, 2s });
-    fold.take(page(0, { claim(1, 10), claim(2, 20) }), wall);
-    auto other = page(2, { claim(3, 31, wall + 9000) }, "another");
-    fold.take(other, wall + 5000);
+    fold.applyPage(makePage(0, { makeClaim(1, 10), makeClaim(2, 20) }), baseWallMs);
+    auto other = makePage(2, { makeClaim(3, 31, baseWallMs + 9000) }, "another");
+    fold.applyPage(other, baseWallMs + 5000);
     REQUIRE(fold.nextOffset() == 0);
-    REQUIRE(fold.status({ 0, 3 }, wall + 9000, wall + 9000).kind == ClaimStatus::Kind::Free);
-    REQUIRE(fold.status({ 0, 4 }, wall, wall + 5000).kind == ClaimStatus::Kind::TooOld);
-    REQUIRE(fold.status({ 0, 1 }, wall, wall + 5000).winner.nonce.low == 10);
+    REQUIRE(fold.status({ 0, 3 }, baseWallMs + 9000, baseWallMs + 9000).kind == ClaimStatus::Kind::Unclaimed);
+    REQUIRE(fold.status({ 0, 4 }, baseWallMs, baseWallMs + 5000).kind == ClaimStatus::Kind::TooOld);
+    REQUIRE(fold.status({ 0, 1 }, baseWallMs, baseWallMs + 5000).winner.nonce.low == 10);
 }
 
 TEST_CASE("Claims gather into few appends and give up in time", "[once]")
 {
     ClaimBatcher batcher({ 200, 3ms, 2s }, 1, "claims-0");
     for (std::uint64_t i = 1; i <= 100; ++i)
-        batcher.request(i, claim(i, i), {});
-    REQUIRE_FALSE(batcher.nextBatch({}));
-    const auto batch = batcher.nextBatch(Instant(3ms));
+        batcher.addClaim(i, makeClaim(i, i), {});
+    REQUIRE_FALSE(batcher.takeNextBatch({}));
+    const auto batch = batcher.takeNextBatch(Instant(3ms));
     REQUIRE(batch->claims.size() == 100);
-    batcher.appendFailed(batch->id, Instant(4ms));
-    const auto again = batcher.nextBatch(Instant(5ms));
+    batcher.onAppendFailed(batch->id, Instant(4ms));
+    const auto again = batcher.takeNextBatch(Instant(5ms));
     REQUIRE(again->claims.size() == 100);
     ClaimFold fold({ 600s, 2s });
-    auto read = page(0, {});
-    read.records.push_back(again->serialize());
-    read.end = 1;
-    const auto ids = fold.take(read, wall);
-    batcher.streamAdvanced(fold, ids, wall);
+    auto pageRead = makePage(0, {});
+    pageRead.records.push_back(again->serialize());
+    pageRead.end = 1;
+    const auto ids = fold.applyPage(pageRead, baseWallMs);
+    batcher.onStreamRead(fold, ids, baseWallMs);
     REQUIRE(batcher.takeDecisions().size() == 100);
-    batcher.request(200, claim(200, 1), Instant(1s));
-    batcher.expire(Instant(4s));
+    batcher.addClaim(200, makeClaim(200, 1), Instant(1s));
+    batcher.expireOldClaims(Instant(4s));
     REQUIRE(batcher.takeDecisions().at(0).kind == ClaimDecision::Kind::Undecided);
-    REQUIRE(batcher.waiting() == 0);
+    REQUIRE(batcher.pendingCount() == 0);
 }
 
 TEST_CASE("A key tells its age, or is none", "[once]")
 {
-    REQUIRE(keyBornMs("018bcfe5-6800-7abc-8def-0123456789ab") == 0x018bcfe56800);
-    REQUIRE(keyBornMs("1700000000:order-7") == 1700000000000);
+    REQUIRE(keyCreationTimeMs("018bcfe5-6800-7abc-8def-0123456789ab") == 0x018bcfe56800);
+    REQUIRE(keyCreationTimeMs("1700000000:order-7") == 1700000000000);
     for (const auto* bad :
         { "", "order-7", "1700000000:", "17x:a", "018bcfe5-6800-4abc-8def-0123456789ab", "-5:a" })
-        REQUIRE_FALSE(keyBornMs(bad));
+        REQUIRE_FALSE(keyCreationTimeMs(bad));
 }
 
 TEST_CASE("A doubled or far too old call number is refused", "[once]")
--- a/test/OwnerClockTest.cpp
+++ b/test/OwnerClockTest.cpp
@@ -177,7 +177,7 @@
 {
     IngressFixture f;
     const Ticket ticket { "u1", 5, 0, { 1, 2 } };
-    const HttpHeaders headers { { "Robinrun-Ticket", ticket.text() } };
+    const HttpHeaders headers { { "Robinrun-Ticket", ticket.toString() } };
     const auto joined = f.call("/s/buy", headers);
     f.give(hostOf(joined), answerAt(joined, monotonicNow() + ownersLead, 100ms, 300ms));
     REQUIRE(f.outcome() == "answered");
--- a/test/fuzz/FuzzEnvelope.cpp
+++ b/test/fuzz/FuzzEnvelope.cpp
@@ -3,7 +3,7 @@
 #include "Config/ConfigFollower.h"
 #include "Node/JsonText.h"
 #include "Once/ClaimFold.h"
-#include "Once/KeyAge.h"
+#include "Once/KeyCreationTime.h"
 #include "Platform/HttpPlatform.h"
 #include "peer.pb.h"
 
@@ -18,7 +18,7 @@
     proto::PeerMessage message;
     if (message.ParseFromString(text) && message.has_records()) {
         ConfigFollower follower;
-        follower.takeRecords(message.records());
+        follower.applyPeerRecords(message.records());
         (void)follower.recordsFrom(0);
     }
     ConfigState state;
@@ -26,12 +26,12 @@
     (void)state.digest();
     const LogPage page { "log", 0, 0, 1, 0, { text } };
     ClaimFold fold({});
-    (void)fold.take(page, 1700000000000);
+    (void)fold.applyPage(page, 1700000000000);
     ConfigFollower follower;
-    follower.takePage(page);
+    follower.applyLogPage(page);
     (void)unframeRecords(text);
     (void)Ticket::parse(text);
-    (void)keyBornMs(text);
+    (void)keyCreationTimeMs(text);
     proto::Resource resource;
     (void)fromText(text, resource);
     (void)mergePatch(text, resource);
--- a/test/support/ControlModel.cpp
+++ b/test/support/ControlModel.cpp
@@ -3,12 +3,12 @@
 namespace robinrun::support {
 namespace {
 
-    constexpr Duration tickEvery = 100ms;
+    constexpr Duration tickInterval = 100ms;
     constexpr const char* stream = "config";
     /// A new link stands after three round trips inside a hall.
-    constexpr Duration linkOpensWithin = 3ms;
+    constexpr Duration linkSetupTime = 3ms;
     /// ZeroMQ's longest pause between two tries to connect to a node that was away.
-    constexpr double longestReconnectSeconds = 2;
+    constexpr double maxReconnectSeconds = 2;
 
     proto::Resource exampleService(const std::string& name, std::uint32_t deadline)
     {
@@ -27,50 +27,51 @@
 } // namespace
 
 /// \brief The shared log as one life of a node sees it: callbacks end with the life.
-class ControlModel::LifeLog : public AppendLog {
+class ControlModel::ProcessLog : public AppendLog {
 public:
-    LifeLog(FakeLog& log, std::shared_ptr<bool> life, std::uint64_t& reads)
+    ProcessLog(FakeLog& log, std::shared_ptr<bool> processAlive, std::uint64_t& readCount)
         : m_log(&log)
-        , m_life(std::move(life))
-        , m_reads(&reads)
+        , m_processAlive(std::move(processAlive))
+        , m_readCount(&readCount)
     {
     }
     void append(const std::string& name, std::string record, Appended done) override
     {
-        m_log->append(
-            name, std::move(record), [life = m_life, done](Result<std::uint64_t, PlatformError> offset) {
-                if (*life)
+        m_log->append(name, std::move(record),
+            [processAlive = m_processAlive, done](Result<std::uint64_t, PlatformError> offset) {
+                if (*processAlive)
                     done(std::move(offset));
             });
     }
     void read(
         const std::string& name, std::uint64_t from, std::size_t limit, Duration wait, Read done) override
     {
-        ++*m_reads;
-        m_log->read(name, from, limit, wait, [life = m_life, done](Result<LogPage, PlatformError> page) {
-            if (*life)
-                done(std::move(page));
-        });
+        ++*m_readCount;
+        m_log->read(name, from, limit, wait,
+            [processAlive = m_processAlive, done](Result<LogPage, PlatformError> page) {
+                if (*processAlive)
+                    done(std::move(page));
+            });
     }
 
 private:
     FakeLog* m_log;
-    std::shared_ptr<bool> m_life;
-    std::uint64_t* m_reads;
+    std::shared_ptr<bool> m_processAlive;
+    std::uint64_t* m_readCount;
 };
 
 /// \brief The platform's host list, as it was a while ago.
-class ControlModel::LifeHosts : public HostList {
+class ControlModel::ProcessHostList : public HostList {
 public:
-    LifeHosts(ControlModel& model, std::shared_ptr<bool> life)
+    ProcessHostList(ControlModel& model, std::shared_ptr<bool> processAlive)
         : m_model(&model)
-        , m_life(std::move(life))
+        , m_processAlive(std::move(processAlive))
     {
     }
     void fetch(std::uint64_t version, Done done) override
     {
-        m_model->m_loop.after(5ms, [this, version, life = m_life, done = std::move(done)] {
-            if (!*life)
+        m_model->m_loop.after(5ms, [this, version, processAlive = m_processAlive, done = std::move(done)] {
+            if (!*processAlive)
                 return;
             auto page = m_model->hostPage();
             if (page.version <= version)
@@ -81,14 +82,14 @@
 
 private:
     ControlModel* m_model;
-    std::shared_ptr<bool> m_life;
+    std::shared_ptr<bool> m_processAlive;
 };
 
 ControlModel::ControlModel(std::uint64_t seed, Options options)
     : m_options(options)
     , m_random(seed)
     , m_log(m_loop, seed + 1, options.logFaults)
-    , m_cutUntil(static_cast<std::size_t>(options.regions))
+    , m_regionCutUntil(static_cast<std::size_t>(options.regions))
 {
     const int halls = options.regions * options.hallsPerRegion;
     for (int i = 0; i < halls * options.nodesPerHall; ++i) {
@@ -96,9 +97,9 @@
         node.name = "n" + std::to_string(i);
         node.address = "10.0.0.1:" + std::to_string(i + 1);
         node.region = i % options.regions;
-        m_byAddress[node.address] = m_nodes.size();
+        m_nodeIndexByAddress[node.address] = m_nodes.size();
         const auto hall = "hall-" + std::to_string(i % halls);
-        m_listed[node.name]
+        m_hostEntries[node.name]
             = { node.name, node.address, hall, "region-" + std::to_string(node.region), false };
         m_nodes.push_back(std::move(node));
     }
@@ -108,8 +109,8 @@
 
 HostPage ControlModel::hostPage() const
 {
-    HostPage page { m_hostsVersion, true, {}, {} };
-    for (const auto& it : m_listed)
+    HostPage page { m_hostListVersion, true, {}, {} };
+    for (const auto& it : m_hostEntries)
         page.hosts.push_back(it.second);
     return page;
 }
@@ -117,7 +118,7 @@
 void ControlModel::start(std::size_t index)
 {
     auto& node = m_nodes[index];
-    node.life = std::make_shared<bool>(true);
+    node.processAlive = std::make_shared<bool>(true);
     std::erase_if(m_links, [index](const auto& it) { return it.first.first == index; });
     node.applied = 0;
     node.appliedAt.clear();
@@ -126,31 +127,31 @@
         {}, Random(m_lastIncarnation), [this] { return m_loop.now(); }, [this] { return m_log.wallMs(); } });
     auto& settings = node.context->settings;
     settings.name = node.name;
-    settings.dataHall = m_listed[node.name].dataHall;
-    settings.region = m_listed[node.name].region;
+    settings.dataHall = m_hostEntries[node.name].dataHall;
+    settings.region = m_hostEntries[node.name].region;
     settings.listen.peers = node.address;
     settings.control.readers = 2;
     settings.control.fanOut = 4;
     settings.control.digestEvery = 2s;
     settings.control.bytesPerSecond = m_options.bytesPerSecond;
-    node.log = std::make_unique<LifeLog>(m_log, node.life, m_logReads);
-    node.hosts = std::make_unique<LifeHosts>(*this, node.life);
+    node.log = std::make_unique<ProcessLog>(m_log, node.processAlive, m_logReadCount);
+    node.hosts = std::make_unique<ProcessHostList>(*this, node.processAlive);
     PeerLinks peers;
     peers.send = [this, index](const std::string& address, proto::PeerMessage& message, Instant) {
         return send(index, address, message);
     };
     peers.answer = [this, index](const PeerSocket::Sender& to, proto::PeerMessage& message, Instant) {
-        const auto asker = m_byAddress.at(to.address);
-        const bool isSameLife = isLive(asker) && m_nodes[asker].context->incarnation == to.incarnation;
-        if (isSameLife)
+        const auto asker = m_nodeIndexByAddress.at(to.address);
+        const bool isSameProcess = isLive(asker) && m_nodes[asker].context->incarnation == to.incarnation;
+        if (isSameProcess)
             transmit(index, asker, message);
-        return isSameLife;
+        return isSameProcess;
     };
     node.plane = std::make_unique<ControlPlane>(*node.context, *node.log, *node.hosts, peers, m_loop.now());
-    node.plane->onChanged([this, index] { changed(index); });
-    const auto life = node.life;
-    m_loop.after(fromSeconds(m_random.unit() * toSeconds(tickEvery)), [this, index, life] {
-        if (*life)
+    node.plane->onChanged([this, index] { onConfigChanged(index); });
+    const auto processAlive = node.processAlive;
+    m_loop.after(fromSeconds(m_random.unit() * toSeconds(tickInterval)), [this, index, processAlive] {
+        if (*processAlive)
             tick(index);
     });
 }
@@ -158,56 +159,57 @@
 void ControlModel::stop(std::size_t index)
 {
     auto& node = m_nodes[index];
-    *node.life = false;
+    *node.processAlive = false;
     node.plane.reset();
 }
 
 void ControlModel::tick(std::size_t index)
 {
     auto& node = m_nodes[index];
-    const auto next = std::max(m_loop.now() + tickEvery, node.pausedUntil);
-    m_loop.at(next, [this, index, life = node.life] {
-        if (*life)
+    const auto next = std::max(m_loop.now() + tickInterval, node.pausedUntil);
+    m_loop.at(next, [this, index, processAlive = node.processAlive] {
+        if (*processAlive)
             tick(index);
     });
     node.plane->tick(m_loop.now());
 }
 
-void ControlModel::changed(std::size_t index)
+void ControlModel::onConfigChanged(std::size_t index)
 {
     auto& node = m_nodes[index];
     const auto applied = node.plane->follower().nextOffset();
-    m_backwardSteps += applied < node.applied;
+    m_offsetDecreases += applied < node.applied;
     node.applied = applied;
     node.appliedAt.emplace(applied, m_loop.now());
 }
 
 SendResult ControlModel::send(std::size_t from, const std::string& address, const proto::PeerMessage& message)
 {
-    const auto it = m_byAddress.find(address);
-    if (it == m_byAddress.end() || !isLive(it->second))
+    const auto it = m_nodeIndexByAddress.find(address);
+    if (it == m_nodeIndexByAddress.end() || !isLive(it->second))
         return SendResult::Unreachable;
-    const auto state = linkState(from, it->second);
+    const auto state = checkLink(from, it->second);
     if (state == SendResult::Sent)
         transmit(from, it->second, message);
     return state;
 }
 
-SendResult ControlModel::linkState(std::size_t from, std::size_t to)
+SendResult ControlModel::checkLink(std::size_t from, std::size_t to)
 {
     const auto now = m_loop.now();
-    const auto& life = m_nodes[to].life;
+    const auto& processAlive = m_nodes[to].processAlive;
     auto& link = m_links[{ from, to }];
-    const bool isNew = link.standsFrom == Instant {};
+    const bool isNew = link.usableFrom == Instant {};
     if (isNew)
-        link.standsFrom = now + linkOpensWithin;
-    else if (link.life && link.life != life && link.awaited != life) {
-        link.standsFrom = now + fromSeconds(m_random.unit() * longestReconnectSeconds);
-        link.awaited = life;
+        link.usableFrom = now + linkSetupTime;
+    else if (link.connectedProcess && link.connectedProcess != processAlive
+        && link.connectingProcess != processAlive) {
+        link.usableFrom = now + fromSeconds(m_random.unit() * maxReconnectSeconds);
+        link.connectingProcess = processAlive;
     }
-    if (now < link.standsFrom)
-        return link.life ? SendResult::Unreachable : SendResult::Connecting;
-    link.life = life;
+    if (now < link.usableFrom)
+        return link.connectedProcess ? SendResult::Unreachable : SendResult::Connecting;
+    link.connectedProcess = processAlive;
     return SendResult::Sent;
 }
 
@@ -216,11 +218,11 @@
     const auto& sender = m_nodes[from];
     const auto& target = m_nodes[to];
     const bool isCut = sender.region != target.region
-        && (m_loop.now() < m_cutUntil[sender.region] || m_loop.now() < m_cutUntil[target.region]);
-    ++m_messages;
-    m_bytes += message.ByteSizeLong();
-    m_bytesByNode[from] += message.ByteSizeLong();
-    if (isCut || m_random.chance(m_options.loss))
+        && (m_loop.now() < m_regionCutUntil[sender.region] || m_loop.now() < m_regionCutUntil[target.region]);
+    ++m_sentMessages;
+    m_sentBytes += message.ByteSizeLong();
+    m_sentBytesByNode[from] += message.ByteSizeLong();
+    if (isCut || m_random.chance(m_options.lossProbability))
         return; // it is gone, and nobody knows
     const PeerSocket::Sender who { sender.name, sender.address, sender.context->incarnation, sender.name };
     const auto arrival
@@ -244,21 +246,21 @@
 
 void ControlModel::cutRegion(int region, Instant end)
 {
-    m_cutUntil[static_cast<std::size_t>(region)] = end;
+    m_regionCutUntil[static_cast<std::size_t>(region)] = end;
 }
 
-std::string ControlModel::write(std::size_t index, const std::string& name, std::uint64_t base)
+std::string ControlModel::appendChange(std::size_t index, const std::string& name, std::uint64_t base)
 {
     proto::ChangeRecord change;
-    change.set_id(m_nodes[index].name + "-" + std::to_string(++m_lastWrite));
+    change.set_id(m_nodes[index].name + "-" + std::to_string(++m_writeCount));
     change.set_who("operator-" + std::to_string(index));
     change.set_base_version(base);
-    *change.mutable_put() = exampleService(name, static_cast<std::uint32_t>(1000 + m_lastWrite));
+    *change.mutable_put() = exampleService(name, static_cast<std::uint32_t>(1000 + m_writeCount));
     m_log.append(stream, change.SerializeAsString(), [](const Result<std::uint64_t, PlatformError>&) {});
     return change.id();
 }
 
-bool ControlModel::isSettled()
+bool ControlModel::hasConverged()
 {
     const auto end = m_log.page(stream, UINT64_MAX, 0).end;
     std::optional<std::uint64_t> digest;
--- a/test/support/OnceModel.h
+++ b/test/support/OnceModel.h
@@ -27,7 +27,7 @@
     int notRun = 0;
     int unknown = 0;
 
-    bool isGood() const { return !keysRunTwice && !falseNotRun && !foreignAnswers; }
+    bool hasNoViolation() const { return !keysRunTwice && !falseNotRun && !foreignAnswers; }
 };
 
 /// \brief The at-most-once parts under one random schedule: real tables, folds and batchers; fake network and
@@ -42,10 +42,10 @@
     struct Parts {
         std::function<std::unique_ptr<TicketTable>(
             std::string upstream, std::uint64_t incarnation, Instant now)>
-            table;
-        std::function<std::unique_ptr<ClaimFold>()> fold;
+            makeTable;
+        std::function<std::unique_ptr<ClaimFold>()> makeFold;
     };
-    static Parts soundParts();
+    static Parts correctParts();
 
     OnceModel(std::uint64_t seed, Parts parts);
     OnceVerdict run();
@@ -55,52 +55,52 @@
         std::string name;
         std::uint64_t incarnation = 0;
         std::unique_ptr<TicketTable> table;
-        SeenCalls seen { 60s };
-        std::map<std::uint64_t, std::vector<int>> waiting; ///< call in hand: attempts to answer
+        SeenCalls seenCalls { 60s };
+        std::map<std::uint64_t, std::vector<int>> waitingAttempts; ///< call in hand: attempts to answer
     };
     struct Home {
         std::unique_ptr<ClaimFold> fold;
         std::unique_ptr<ClaimBatcher> batcher;
-        std::map<std::uint64_t, std::function<void(ClaimDecision)>> deciders;
-        std::uint64_t lastRequest = 0;
-        std::uint64_t life = 0; ///< rises with each restart
+        std::map<std::uint64_t, std::function<void(ClaimDecision)>> decisionCallbacks;
+        std::uint64_t lastRequestId = 0;
+        std::uint64_t restartCount = 0; ///< rises with each restart
         Instant pausedUntil {};
-        bool isReading = false;
+        bool isReadInFlight = false;
     };
     /// One sending of a call by its caller.
     struct Attempt {
-        int key = 0;
-        bool isOver = false;
+        int keyIndex = 0;
+        bool isAnswered = false;
         bool isTold = false;
-        bool wasToldNotRun = false;
-        bool isOut = false; ///< sent to an owner: no longer provably not run
+        bool wasReportedNotRun = false;
+        bool isSentToOwner = false; ///< sent to an owner: no longer provably not run
         bool hasRun = false;
     };
-    struct Key {
+    struct KeyState {
         bool usesTicket = false;
         std::optional<Ticket> ticket;
-        std::int64_t bornMs = 0;
-        int runs = 0;
+        std::int64_t keyCreatedMs = 0;
+        int runCount = 0;
     };
 
     Duration networkDelay();
     /// \brief Delivers \a f after a random delay; perhaps never, perhaps twice.
-    void network(const std::function<void()>& f);
-    void schedule();
-    void begin(int key);
-    void claim(int attempt, const Ticket& minted);
-    void decideAt(Home& home, const Claim& claim, std::function<void(ClaimDecision)> decided);
+    void deliverUnreliably(const std::function<void()>& f);
+    void scheduleCallsAndFaults();
+    void startAttempt(int key);
+    void requestClaim(int attempt, const Ticket& minted);
+    void requestDecision(Home& home, const Claim& claim, std::function<void(ClaimDecision)> decided);
     void tickHome(std::size_t index);
-    void readHome(Home& home);
+    void readClaimStream(Home& home);
     void sendCall(int attempt, const Ticket& ticket);
-    void takeCall(Owner& owner, int attempt, const Ticket& ticket);
+    void receiveCall(Owner& owner, int attempt, const Ticket& ticket);
     void runCall(Owner& owner, std::uint64_t id, int attempt, const Ticket& ticket);
-    void answerAttempt(int attempt, proto::Outcome outcome, int ofKey);
-    void tell(int attempt, proto::Outcome outcome);
+    void sendAnswer(int attempt, proto::Outcome outcome, int answeredKey);
+    void reportOutcome(int attempt, proto::Outcome outcome);
     void restart(Owner& owner);
     void restart(Home& home);
-    Hash128 hashOf(int key) const;
-    Owner* ownerOf(const Ticket& ticket);
+    Hash128 keyHash(int key) const;
+    Owner* findOwner(const Ticket& ticket);
 
     VirtualLoop m_loop;
     Random m_random;
@@ -108,10 +108,10 @@
     FakeLog m_log;
     std::vector<Owner> m_owners;
     std::vector<Home> m_homes;
-    std::vector<Key> m_keys;
+    std::vector<KeyState> m_keys;
     std::vector<Attempt> m_attempts;
     std::uint64_t m_lastIncarnation = 0;
-    std::uint64_t m_lastCall = 0;
+    std::uint64_t m_lastCallId = 0;
     OnceVerdict m_verdict;
 };
 
--- a/tools/ctl/CtlApply.cpp
+++ b/tools/ctl/CtlApply.cpp
@@ -47,7 +47,7 @@
                     continue;
                 }
                 for (const auto& it : validate(document.resource))
-                    complain(document.line, it.text());
+                    complain(document.line, it.toString());
                 out.push_back(std::move(document));
             }
         } catch (const YAML::BadFile&) {
@@ -126,7 +126,7 @@
     hall.set_name("halls/" + options.words[1]);
     hall.mutable_data_hall()->set_emptied(isEmptied);
     for (const auto& it : validate(hall))
-        return fail(it.text(), badUsage);
+        return fail(it.toString(), badUsage);
     return applyOne(client, hall, options);
 }
 
--- a/tools/ctl/CtlOptions.cpp
+++ b/tools/ctl/CtlOptions.cpp
@@ -113,7 +113,7 @@
     const bool readsLogs
         = command == "explain" || command == "losses" || command == "held" || command == "halls";
     const bool needsServer = !readsLogs;
-    if (needsServer && !isAddress(out.server))
+    if (needsServer && !isIpv4Endpoint(out.server))
         return fail("--server: '" + out.server + "' is not an IPv4 address and port", badUsage);
     return std::nullopt;
 }
