--- a/test/OwnerClockTest.cpp
+++ b/test/OwnerClockTest.cpp
@@ -182,7 +182,7 @@
 {
     IngressFixture f;
     const Ticket ticket { "u1", 5, 0, { 1, 2 } };
-    const HttpHeaders headers { { "Robinrun-Ticket", ticket.text() } };
+    const HttpHeaders headers { { "Robinrun-Ticket", ticket.toString() } };
     const auto joined = f.call("/s/buy", headers);
     f.give(hostOf(joined), answerAt(joined, monotonicNow() + ownerClockLead, 100ms, 300ms));
     REQUIRE(f.outcome() == "answered");
