--- a/bench/state/state-main.cpp
+++ b/bench/state/state-main.cpp
@@ -115,7 +115,7 @@
         for (int i = 0; i < n; ++i)
             page.hosts.push_back({ "host-" + std::to_string(i), "10.11.12.13:8082",
                 "data-hall-" + std::to_string(i % 18), "region-" + std::to_string(i % 7), false });
-        members->take(page);
+        members->applyPage(page);
         return members;
     });
 }
@@ -131,7 +131,7 @@
                 { "service-1-upstream-12", 1, 1, { random.bits(), random.bits() } } };
             page.records.push_back(ClaimBatch { "batch", { claim } }.serialize());
         }
-        fold->take(page, 1700000000000);
+        fold->applyPage(page, 1700000000000);
         return fold;
     });
     measure("used ticket with a 500-byte answer", sizes, [](int n) {
@@ -140,8 +140,8 @@
         Random random(1);
         for (int i = 0; i < n; ++i) {
             const auto ticket = table->mint(random, {});
-            table->begin(ticket, {}, 1, {});
-            table->ended(
+            table->beginCall(ticket, {}, 1, {});
+            table->recordAnswer(
                 ticket.nonce, { true, 200, { { "Content-Type", "text/plain" } }, std::string(500, 'x') });
         }
         return table;
@@ -152,14 +152,14 @@
 {
     measure("upstream of a service in use at an ingress", { 300, 600, 1200 }, [](int n) {
         auto router = std::make_shared<ServiceRouter>(ServiceRouter::Options {});
-        std::vector<RouteTarget> targets;
+        std::vector<UpstreamConfig> targets;
         targets.reserve(static_cast<std::size_t>(n));
         for (int i = 0; i < n; ++i)
             targets.push_back({ "service-1-upstream-" + std::to_string(i), 12, 1ms });
         router->setUpstreams(targets, {});
         for (const auto& it : targets) {
-            router->sent(it.name, 1);
-            router->answered(it.name, 1, {}, 10ms, false, {});
+            router->onAttemptSent(it.name, 1);
+            router->onAttemptAnswered(it.name, 1, {}, 10ms, false, {});
         }
         return router;
     });
--- a/src/Routing/ServiceRouter.h
+++ b/src/Routing/ServiceRouter.h
@@ -2,11 +2,11 @@
 
 #include "Core/Random.h"
 #include "Core/Time.h"
-#include "Routing/AskWorth.h"
-#include "Routing/Choice.h"
+#include "Routing/ChoicePolicy.h"
 #include "Routing/Ejection.h"
-#include "Routing/LatencySketch.h"
-#include "Routing/RemainingTime.h"
+#include "Routing/ImmediateAttemptPolicy.h"
+#include "Routing/LatencyStatistics.h"
+#include "Routing/RemainingTimeEstimate.h"
 #include "Routing/RetryBudget.h"
 #include "Routing/UpstreamView.h"
 
@@ -21,149 +21,171 @@
 
 namespace robinrun {
 
-/// \brief An upstream as the configuration names it to an ingress.
-struct RouteTarget {
+/// \brief The configuration of an upstream at an ingress.
+struct UpstreamConfig {
     std::string name;
     std::uint32_t slots = 0;
-    Duration roundTrip {}; ///< guess until it is measured
+    Duration roundTrip {}; ///< initial value, until round trips are measured
     bool isFar = false; ///< in another data hall
 };
 
-/// \brief What is known of a call when an upstream is chosen for it.
-struct RouteNeeds {
+/// \brief Properties of a call that matter for the choice of its upstream.
+struct CallProfile {
     std::uint32_t group = 0;
     std::string_view callClass {};
-    Duration targetLatency {}; ///< what is left of it; 0: none
-    double relativeBytes = 1; ///< of such a call and its answer, over those of a mean call
+    Duration remainingTargetLatency {}; ///< time left until the target latency; 0: the call has no target
+    /// Bytes of a call of its class and the answer, divided by those of a mean call.
+    double relativeBytes = 1;
 };
 
-/// \brief All that one ingress decides about the calls of one service: where to, whether again.
+/// \brief Decides at one ingress to which upstream each call of a service is sent and whether it is retried.
 ///
-/// The node and the policy bench run this same class. No I/O; the present time is an argument.
-/// Cost: pick O(upstreams of the subset); the rest O(1).
+/// The node and the policy benchmark use this class alike. It does no I/O, and callers pass the current time.
+/// Unknown names of upstreams are ignored. Cost: pickUpstream() O(upstreams of the subset); other members
+/// O(1) unless stated otherwise.
 class ServiceRouter {
 public:
     struct Options {
-        ChoiceKind kind = ChoiceKind::ExpectedDelay;
-        double farLoss = TimelyChoice::Options {}.farLoss; ///< for ChoiceKind::Timely
+        ChoicePolicyKind policyKind = ChoicePolicyKind::ExpectedDelay;
+        /// For ChoicePolicyKind::Timely; see TimelyChoice::Options.
+        double farLoss = TimelyChoice::Options {}.farLoss;
         Ejection::Options ejection {};
-        bool ejects = true; ///< whether upstreams that fail often are left out
-        double retryFraction = 0.1;
-        double retryBurst = 10;
-        bool sharesRetries = false; ///< among all groups, where what a service gets in all is bounded
-        Duration lostFor = 1s; ///< how long an upstream whose node doesn't answer is left out at first
-        bool hedges = true; ///< whether late answers are acted upon
-        Duration leastHedge = 5ms; ///< no answer is late before
-        unsigned lateLimit = 3; ///< late answers in a row after which an upstream gets one call at a time
-        Duration leavingMemory = 5s; ///< after which a leaving upstream is asked again, in case it stayed
+        bool ejectsOutliers = true; ///< whether upstreams with many errors are ejected
+        double retryFraction = 0.1; ///< part of a retry that each first attempt earns
+        double retryBurst = 10; ///< most retries that a budget can save
+        /// Among all groups, when the retries of the whole service are bounded.
+        bool sharesRetryBudget = false;
+        Duration initialLostPause = 1s; ///< first pause of an upstream whose node doesn't answer
+        bool sendsHedges = true; ///< whether an attempt can count as late and lead to a hedged request
+        Duration minHedgeDelay = 5ms; ///< least time after which an attempt is late
+        unsigned lateAnswersUntilPause = 3; ///< consecutive late answers after which an upstream is paused
+        Duration leavingTimeout = 5s; ///< after it a leaving upstream gets calls again, in case it stayed
     };
 
     explicit ServiceRouter(Options options);
 
-    /// \brief Sets the upstreams; those known by name keep what is known of them, new ones start slowly.
-    void setUpstreams(const std::vector<RouteTarget>& targets, Instant now);
+    /// \brief Sets the upstreams. Known upstreams, by name, keep their state. New ones get a slow start,
+    /// except in the first call. Cost: O(upstreams).
+    void setUpstreams(const std::vector<UpstreamConfig>& upstreams, Instant now);
 
-    /// \brief Changes the budget of retries; groups keep what they have saved up.
+    /// \brief Sets the part of a retry that each first attempt earns. Saved retries stay. Cost: O(groups).
     void setRetryFraction(double fraction);
 
-    /// \brief Changes how many retries a group may save up.
+    /// \brief Sets the most retries that a budget can save. Cost: O(groups).
     void setRetryBurst(double burst);
 
-    /// \brief Chooses an upstream for a call. \param excluded names already tried.
-    /// \returns its name, or nothing if none is left.
-    std::optional<std::string> pick(
-        std::span<const std::string> excluded, const RouteNeeds& needs, Instant now, Random& random);
+    /// \brief Chooses an upstream for a call.
+    /// \param excluded names of the upstreams that are not eligible, such as those already tried.
+    /// \returns the name of the upstream; std::nullopt if no upstream is eligible.
+    std::optional<std::string> pickUpstream(
+        std::span<const std::string> excluded, const CallProfile& profile, Instant now, Random& random);
 
-    /// \brief A call of \a callClass held its slot for \a held, while work took \a slowdown times as long.
-    void measuredWork(std::string_view callClass, Duration held, double slowdown);
+    /// \brief Records that a call of \a callClass held its slot for \a slotTime.
+    /// \param slowdown factor by which the backend server was slowed down when the call was sent; 1 if it
+    /// wasn't.
+    void recordSlotTime(std::string_view callClass, Duration slotTime, double slowdown);
 
-    /// \returns the usual slot time of \a callClass; a part of \a targetLatency before any was measured.
-    Duration usualWork(std::string_view callClass, Duration targetLatency) const;
+    /// \returns the mean slot time of \a callClass on a server without slow-down; a fixed share of \a
+    /// targetLatency if no slot time of the class has been recorded.
+    Duration expectedSlotTime(std::string_view callClass, Duration targetLatency) const;
 
-    /// \returns how long a call is expected to take at \a upstream, by the figures of TimelyChoice.
-    Duration expectedAt(const std::string& upstream, const RouteNeeds& needs, Instant now);
+    /// \returns the expected time from sending a call to \a upstream until its answer arrives, as
+    /// TimelyChoice computes it; zero for an unknown upstream.
+    Duration expectedResponseTime(const std::string& upstream, const CallProfile& profile, Instant now);
 
-    /// \brief An answer to a call of \a callClass took \a actual where expectedAt() was \a expected.
-    void took(std::string_view callClass, Duration actual, Duration expected);
+    /// \brief Records the response time \a actual of a call of \a callClass.
+    /// \param expected what expectedResponseTime() returned when the call was sent.
+    void recordResponseTime(std::string_view callClass, Duration actual, Duration expected);
 
-    /// \returns the slow-down last told of \a upstream.
-    double slowdownOf(const std::string& upstream);
+    /// \returns the slow-down of the backend server in the last load report of \a upstream; 1 if there is
+    /// none.
+    double reportedSlowdown(const std::string& upstream);
 
-    /// \returns the reading of the clock of the work done at \a upstream; zero if it isn't known.
-    Duration workClockOf(const std::string& upstream, Instant now);
+    /// \returns the reading of the WorkClock of \a upstream; zero for an unknown upstream.
+    Duration workClockReading(const std::string& upstream, Instant now);
 
-    /// \brief A call of \a callClass ran to its end and took \a work by that clock.
-    void ranWork(std::string_view callClass, Duration work) { m_remaining.ran(callClass, work); }
+    /// \brief Records that a completed call of \a callClass took \a work, measured by the WorkClock.
+    void recordCompletedWork(std::string_view callClass, Duration work)
+    {
+        m_remainingTime.addRun(callClass, work);
+    }
 
-    /// \returns how much longer a call of \a callClass is expected to run at \a upstream after \a done of its
-    /// work; zero if nothing is known.
-    Duration remainingAt(const std::string& upstream, std::string_view callClass, Duration done);
+    /// \returns the expected time until a call of \a callClass ends at \a upstream when \a completedWork of
+    /// it has been done; zero if the class or the upstream is unknown.
+    Duration expectedRemainingTime(
+        const std::string& upstream, std::string_view callClass, Duration completedWork);
 
-    /// \brief The owner told its load by itself.
-    void heard(const std::string& upstream, const Report& report, Instant now);
+    /// \brief Takes a load report of the owner. If the backend server is down, pauses the upstream; else
+    /// makes a lost upstream active.
+    void onLoadReport(const std::string& upstream, const OwnerReport& report, Instant now);
 
-    /// \brief Whatever kept calls from \a upstream is over: its node lives again.
-    void revive(const std::string& upstream, Instant now);
+    /// \brief Ends any pause of \a upstream and makes it active, for instance because its node is back.
+    void reactivate(const std::string& upstream, Instant now);
 
-    /// \brief Counts the first attempt of a call, which earns its group a part of a retry.
-    void firstAttempt(std::uint32_t group) { budgetOf(group).firstAttempt(); }
+    /// \brief Counts the first attempt of a call, which earns a part of a retry for its group.
+    void recordFirstAttempt(std::uint32_t group) { budgetOf(group).recordFirstAttempt(); }
 
-    /// \returns the retries that all groups have saved up.
+    /// \returns the sum of the saved retries of all groups. Cost: O(groups).
     double savedRetries() const;
 
-    /// \returns whether the group may send one more attempt; if so it is spent.
-    bool trySpendRetry(std::uint32_t group, RetryClaim claim, Instant now)
+    /// \brief Spends a retry of the group's budget. \returns false if none is available for \a priority.
+    bool trySpendRetry(std::uint32_t group, RetryPriority priority, Instant now)
     {
-        return budgetOf(group).trySpend(claim, now);
+        return budgetOf(group).trySpend(priority, now);
     }
 
-    /// \returns whether the group's budget is kept for higher claims.
-    bool isRetryKeptFrom(std::uint32_t group, RetryClaim claim, Instant now)
+    /// \returns whether the group's budget is reserved for retries of a higher priority than \a priority.
+    bool isRetryReservedForHigher(std::uint32_t group, RetryPriority priority, Instant now)
     {
-        return budgetOf(group).isKeptFrom(claim, now);
+        return budgetOf(group).isReservedForHigher(priority, now);
     }
 
-    /// \returns whether the group has anything left of its budget, so that another service's retry may make
+    /// \returns whether the group's budget is above 0, so that a retry at another service may make nested
     /// calls here.
-    bool hasRetriesLeft(std::uint32_t group) { return budgetOf(group).saved() > 0; }
+    bool hasRetriesLeft(std::uint32_t group) { return budgetOf(group).savedRetries() > 0; }
 
-    /// \brief A retry at another service is going to make \a n calls of \a group here.
+    /// \brief Charges the budget of \a group for \a n nested calls that a retry at another service makes
+    /// here. A negative \a n returns them.
     void chargeRetries(std::uint32_t group, double n) { budgetOf(group).charge(n); }
 
-    /// \brief An attempt goes out. \returns the slot time the group got on the other upstreams since its last
-    /// call to this one: the owner charges it to the group's share.
-    Duration sent(const std::string& upstream, std::uint32_t group);
+    /// \brief Records that an attempt is sent.
+    /// \returns the slot time that the group used on the other upstreams since its last call to this one. The
+    /// owner charges it to the group's share.
+    Duration onAttemptSent(const std::string& upstream, std::uint32_t group);
 
-    /// \brief An answer came. \param held slot time of the call; zero if it was refused.
-    void answered(const std::string& upstream, std::uint32_t group, const Report& report, Duration held,
-        bool isFailure, Instant now);
+    /// \brief Records the answer to an attempt. \param slotTime slot time of the call; zero if it was
+    /// refused.
+    void onAttemptAnswered(const std::string& upstream, std::uint32_t group, const OwnerReport& report,
+        Duration slotTime, bool isFailure, Instant now);
 
-    /// \brief No answer came, or the message could not go out.
-    void lost(const std::string& upstream, std::uint32_t group, Instant now);
+    /// \brief Records that an attempt got no answer or could not be sent. Pauses the upstream as lost.
+    void onAttemptLost(const std::string& upstream, std::uint32_t group, Instant now);
 
-    /// \brief How long a whole call took; tells when others are late.
-    void measuredLatency(Duration latency) { m_latency.add(latency); }
+    /// \brief Records the latency of a whole call, from which hedgeDelay() is derived.
+    void recordCallLatency(Duration latency) { m_callLatency.addSample(latency); }
 
-    /// \returns the time after which an attempt is late, and a repeatable call may go elsewhere as well.
+    /// \returns the time after which an attempt is late, so that a hedged request may be sent for a
+    /// repeatable call; std::nullopt without hedging or before enough latencies have been recorded.
     std::optional<Duration> hedgeDelay() const;
 
-    /// \brief An attempt is late; it stays out.
-    void attemptTimedOut(const std::string& upstream, Instant now);
+    /// \brief Records that an attempt is late. It stays in flight. Pauses the upstream after several in a
+    /// row.
+    void onAttemptLate(const std::string& upstream, Instant now);
 
-    /// \brief An attempt was given up by this side.
-    void abandoned(const std::string& upstream, std::uint32_t group);
+    /// \brief Records that the ingress gave up an attempt.
+    void onAttemptAbandoned(const std::string& upstream, std::uint32_t group);
 
-    /// \brief The owner says whether its upstream is leaving.
+    /// \brief Takes the owner's information whether its upstream is leaving.
     void setLeaving(const std::string& upstream, bool isLeaving, Instant now);
 
-    /// \brief A round trip was measured: total time less queueing and service.
-    void measuredRoundTrip(const std::string& upstream, Duration roundTrip);
+    /// \brief Records a measured round trip: the response time less queueing and slot time.
+    void recordRoundTrip(const std::string& upstream, Duration roundTrip);
 
-    /// \brief Whether owners are worth asking to run calls at once.
-    AskWorth& askWorth() { return m_askWorth; }
+    /// \returns the policy for immediate attempts at the owners of this service.
+    ImmediateAttemptPolicy& immediateAttemptPolicy() { return m_immediateAttemptPolicy; }
 
     std::span<const UpstreamView> views() const { return m_views; }
-    const UpstreamView* find(const std::string& upstream) const;
+    const UpstreamView* findView(const std::string& upstream) const;
     const Ejection& ejection() const { return m_ejection; }
 
 private:
@@ -171,45 +193,46 @@
         Instant until {};
         Duration length {};
     };
-    /// What a group used, for charging use elsewhere.
-    struct Use {
-        Duration total {};
-        std::unordered_map<std::string, Duration> own;
-        std::unordered_map<std::string, Duration> othersAtLastSend;
+    /// \brief Slot time that a group used, to report its use of other upstreams to an owner.
+    struct GroupUsage {
+        Duration totalSlotTime {};
+        std::unordered_map<std::string, Duration> slotTimeByUpstream;
+        /// For each upstream, the slot time on all others when the group's last call was sent to it.
+        std::unordered_map<std::string, Duration> elsewhereAtLastSend;
     };
 
     UpstreamView* viewOf(const std::string& name);
-    ChoiceInput inputFor(const RouteNeeds& needs, Instant now) const;
-    /// \brief What is known of the calls of one class.
-    struct ClassView {
+    ChoiceInput choiceInputFor(const CallProfile& profile, Instant now) const;
+    /// \brief Estimates for the calls of one class.
+    struct ClassEstimates {
         WorkEstimate work;
-        LateChance lateChance;
+        LatenessEstimate lateness;
     };
-    ClassView& viewOfClass(std::string_view callClass);
+    ClassEstimates& estimatesOf(std::string_view callClass);
     RetryBudget& budgetOf(std::uint32_t group);
     void setRetryBounds(double fraction, double burst);
-    void endPauses(Instant now);
-    void pauseLost(UpstreamView& view, Instant now);
-    /// \returns how long to leave an upstream alone: longer each time until it answers.
-    Duration longerPause(const std::string& upstream, Instant now);
-    void pause(UpstreamView& view, UpstreamState state, Duration length, Instant now);
+    void endExpiredPauses(Instant now);
+    void pauseLostUpstream(UpstreamView& view, Instant now);
+    /// \returns the length of the upstream's next pause, doubled each time until the upstream answers.
+    Duration extendPause(const std::string& upstream, Instant now);
+    void pauseUpstream(UpstreamView& view, UpstreamState state, Duration length, Instant now);
 
     Options m_options;
-    Choice m_choice;
-    LatencySketch m_latency;
-    std::map<std::string, ClassView, std::less<>> m_classes;
-    LateChance m_unknownChance; ///< of classes without any answer yet
-    RemainingTime m_remaining;
-    AskWorth m_askWorth;
+    ChoicePolicy m_policy;
+    LatencyStatistics m_callLatency;
+    std::map<std::string, ClassEstimates, std::less<>> m_estimatesByClass;
+    LatenessEstimate m_defaultLateness; ///< for classes without a recorded answer
+    RemainingTimeEstimate m_remainingTime;
+    ImmediateAttemptPolicy m_immediateAttemptPolicy;
     Ejection m_ejection;
     std::vector<UpstreamView> m_views;
-    std::unordered_map<std::string, std::size_t> m_index;
+    std::unordered_map<std::string, std::size_t> m_indexByName;
     std::unordered_map<std::string, Pause> m_pauses;
-    std::unordered_map<std::uint32_t, RetryBudget> m_budgets;
-    std::unordered_map<std::uint32_t, Use> m_use;
+    std::unordered_map<std::uint32_t, RetryBudget> m_retryBudgets;
+    std::unordered_map<std::uint32_t, GroupUsage> m_groupUsage;
     std::vector<std::size_t> m_candidates;
     std::vector<std::size_t> m_excluded;
-    Instant m_nextJudgement {};
+    Instant m_nextStateCheck {};
 };
 
 } // namespace robinrun
--- a/test/IngressTest.cpp
+++ b/test/IngressTest.cpp
@@ -115,7 +115,7 @@
     f.reply.reset();
     f.caller->send(
         { "POST", "/s/buy",
-            { { "Robinrun-Credential", support::secret }, { "Robinrun-Ticket", ticket.text() } }, "x" },
+            { { "Robinrun-Credential", support::secret }, { "Robinrun-Ticket", ticket.toString() } }, "x" },
         9s, [&](auto result) { f.reply = result.value(); });
     REQUIRE(f.outcome() == "unknown");
     f.reply.reset();
@@ -140,7 +140,7 @@
         upstream.mutable_upstream()->set_slots(4);
         resources.push_back(upstream);
     }
-    f.context.settings.choice.kind = ChoiceKind::Timely;
+    f.context.settings.choice.kind = ChoicePolicyKind::Timely;
     f.context.settings.choice.subset = 24;
     f.context.settings.dataHall = "hall-1";
     f.context.directory.rebuild(resources);
