--- a/src/Mesh/ContactReachability.h
+++ b/src/Mesh/ContactReachability.h
@@ -12,8 +12,8 @@
 /// \brief Records when each contact was last reached, and reports those that have been unreachable for too
 /// long.
 ///
-/// A node that was not a contact for a while starts afresh: a node to which nothing was sent is not known to
-/// be gone.
+/// The time of a node that was not a contact for a while starts anew, because a node to which nothing was
+/// sent is not known to be gone.
 /// Cost: O(contacts log contacts).
 class ContactReachability {
 public:
@@ -34,8 +34,8 @@
 
 private:
     Duration m_lostTimeout;
-    std::map<std::string, Instant>
-        m_lastReached; ///< by address; the time of the first attempt if the contact was never reached
+    /// By address. Holds the time of the first attempt if the contact was never reached.
+    std::map<std::string, Instant> m_lastReached;
 };
 
 } // namespace robinrun
--- a/src/Mesh/StoreReadTiming.h
+++ b/src/Mesh/StoreReadTiming.h
@@ -21,8 +21,8 @@
 class StoreReadTiming {
 public:
     struct Options {
-        std::size_t targetFollowers
-            = 4; ///< followers that a node must hear from before it stands by; \sa FollowerSelection
+        /// Followers that a node must hear from before it stands by. \sa FollowerSelection
+        std::size_t targetFollowers = 4;
         std::size_t maxContacts = 16; ///< peers that each node hears from
     };
 
--- a/test/EmptiedHallTest.cpp
+++ b/test/EmptiedHallTest.cpp
@@ -63,18 +63,18 @@
 
 TEST_CASE("The newest record of a hall is valid, by any path and in any order", "[halls]")
 {
-    EmptiedHalls read;
-    REQUIRE(read.applyPage(
+    EmptiedHalls halls;
+    REQUIRE(halls.applyPage(
         makePage({ { "config", "x", { 1, 4 } }, { "hall/a", "{}", { 1, 5 } } }, { 1, 6 }), parseHallKey));
-    REQUIRE(read.isEmptied("a"));
+    REQUIRE(halls.isEmptied("a"));
     proto::NodeContact earlyContact;
-    read.addToContact(earlyContact);
-    REQUIRE(read.applyPage(makePage({ { "hall/a", "", { 1, 6 } } }, { 1, 7 }), parseHallKey));
-    REQUIRE_FALSE(read.applyContact(earlyContact));
-    REQUIRE_FALSE(read.isEmptied("a"));
+    halls.addToContact(earlyContact);
+    REQUIRE(halls.applyPage(makePage({ { "hall/a", "", { 1, 6 } } }, { 1, 7 }), parseHallKey));
+    REQUIRE_FALSE(halls.applyContact(earlyContact));
+    REQUIRE_FALSE(halls.isEmptied("a"));
     EmptiedHalls other;
     proto::NodeContact lateContact;
-    read.addToContact(lateContact);
+    halls.addToContact(lateContact);
     REQUIRE_FALSE(other.applyContact(lateContact));
     REQUIRE_FALSE(other.applyContact(earlyContact));
     REQUIRE_FALSE(other.isEmptied("a"));
--- a/test/WatchGroupTest.cpp
+++ b/test/WatchGroupTest.cpp
@@ -43,8 +43,8 @@
 const std::vector<FaultScenario>& faultScenarios()
 {
     static const std::vector<FaultScenario> out {
-        { "one node receives no messages", [](WatchModel& m) { m.setPartition(m.size() / 3, 1); } },
-        { "a tenth of the nodes receive no messages",
+        { "one node is isolated", [](WatchModel& m) { m.setPartition(m.size() / 3, 1); } },
+        { "a tenth of the nodes are each isolated",
             [](WatchModel& m) {
                 for (std::size_t i = 0; i < m.size(); i += 10)
                     m.setPartition(i, 1 + static_cast<int>(i));
@@ -59,7 +59,7 @@
         { "all messages of members are lost",
             [](WatchModel& m) {
                 for (const auto it : m.members())
-                    m.setMute(it, true);
+                    m.setMuted(it, true);
             } },
         { "all members are suspended",
             [](WatchModel& m) {
@@ -69,7 +69,7 @@
         { "all messages of a tenth of the nodes are lost",
             [](WatchModel& m) {
                 for (std::size_t i = 0; i < m.size(); i += 10)
-                    m.setMute(i, true);
+                    m.setMuted(i, true);
             } },
         { "the store is slow", [](WatchModel& m) { m.setStoreLatency(200ms); } },
         { "the store refuses half of the members",
--- a/test/support/WatchModel.h
+++ b/test/support/WatchModel.h
@@ -75,7 +75,7 @@
         m_nodes[node].partitionedAt = m_now;
     }
     /// \brief Sets whether all messages of a node are lost from now on.
-    void setMute(std::size_t node, bool isMute) { m_nodes[node].isMute = isMute; }
+    void setMuted(std::size_t node, bool isMuted) { m_nodes[node].isMuted = isMuted; }
     /// \brief Sets whether the store answers a node.
     void setStoreReachable(std::size_t node, bool isReachable) { m_nodes[node].canReachStore = isReachable; }
     /// \brief Stops a node until \a end.
@@ -118,7 +118,7 @@
         Instant frozenUntil {};
         Instant partitionedAt { -1h };
         int partition = 0;
-        bool isMute = false;
+        bool isMuted = false;
         bool canReachStore = true;
         bool isOnStandby = false;
         bool isFollowing = false;
@@ -272,7 +272,7 @@
     {
         const auto& a = m_nodes[from];
         auto& b = m_nodes[to];
-        const bool isLost = a.isMute || a.partition != b.partition || m_random.unit() < m_options.lossRate;
+        const bool isLost = a.isMuted || a.partition != b.partition || m_random.unit() < m_options.lossRate;
         if (isLost || b.frozenUntil > m_now || from == to)
             return;
         b.followerSelection->onPeerStatus(m_addresses[from], a.isFollowing, m_now);
