--- a/src/Routing/ChoicePolicy.cpp
+++ b/src/Routing/ChoicePolicy.cpp
@@ -32,16 +32,16 @@
     template <class Score>
     std::size_t candidateWithLeastScore(std::span<const std::size_t> candidates, Random& random, Score score)
     {
-        double least = std::numeric_limits<double>::infinity();
+        double leastScore = std::numeric_limits<double>::infinity();
         std::size_t best = candidates.front();
         std::size_t ties = 0;
         for (const auto it : candidates) {
-            const double itScore = score(it);
-            if (itScore < least) {
-                least = itScore;
+            const double candidateScore = score(it);
+            if (candidateScore < leastScore) {
+                leastScore = candidateScore;
                 best = it;
                 ties = 1;
-            } else if (itScore == least && random.below(++ties) == 0) {
+            } else if (candidateScore == leastScore && random.below(++ties) == 0) {
                 best = it;
             }
         }
--- a/src/Routing/ChoicePolicy.h
+++ b/src/Routing/ChoicePolicy.h
@@ -78,12 +78,13 @@
 /// \brief Chooses the candidate with the least expected delay, from the exact count of this ingress's calls
 /// in flight and the owners' reports on the calls of other ingresses.
 ///
-/// Expected delay = round trip + wait for a slot + slot time, plus a penalty for load below saturation. It
-/// grows with the share of failed calls. The number of other ingresses' calls is taken from the owner's last
-/// report. It decays towards the mean over the candidates as the report ages, so that an old report of an
-/// idle or a busy upstream counts less and less. In the penalty a call of this ingress counts for more than
-/// one call: the count of these calls is the only exact figure, and the higher weight spreads the calls of
-/// each ingress evenly, so that ingresses with the same reports don't all choose the same upstream.
+/// The expected delay is the sum of the round trip, the wait for a slot, the slot time and a penalty for load
+/// below saturation, divided by the share of calls that don't fail.
+/// The number of other ingresses' calls is taken from the owner's last report. This number decays towards the
+/// mean over the candidates as the report ages, so that an old report of an idle or a busy upstream counts
+/// less and less. In the penalty a call of this ingress counts for more than one call: the count of these
+/// calls is the only exact figure, and the higher weight spreads the calls of each ingress evenly, so that
+/// ingresses with the same reports don't all choose the same upstream.
 /// Cost: O(candidates); about 15 ns each.
 /// \sa docs/design/choice.md
 struct ExpectedDelayChoice {
@@ -94,10 +95,10 @@
         double equalSlotTimeFactor = 1.5;
         Duration slowStartDuration = 5s;
         std::size_t sampleSize = 8; ///< number of candidates that are compared
-        /// Load penalty of an upstream whose slots are all in use, in slot times; in proportion for a lower
-        /// load.
+        /// Load penalty of an upstream whose slots are all in use, in slot times. At a lower load the penalty
+        /// is about proportional to the load.
         double loadPenaltySlope = 0.5;
-        /// Number of calls that a call of this ingress counts for in the load penalty.
+        /// Weight of a call of this ingress in the load penalty; a call of another ingress has weight 1.
         double ownCallWeight = 8;
         double maxLoadPenalty = 10; ///< upper bound of the load penalty, in slot times
     };
@@ -121,10 +122,12 @@
 ///
 /// An answer in time earns a credit of 1, a late one next to nothing. The policy therefore minimizes the
 /// probability of a late answer rather than the delay, and prefers an upstream in the ingress's own data hall
-/// that is in time to a faster one in another hall. The expected time is round trip + wait for a slot + slot
-/// time without slow-down x the slow-down that the owner reported last; owners report each change. For calls
-/// without a target latency the expected time itself is minimized. Caveat: the policy doesn't detect a slow
-/// upstream whose backend server reports no slow-down. Cost: O(candidates).
+/// that is in time to a faster one in another hall. For calls without a target latency the policy minimizes
+/// the expected time.
+/// The expected time is the sum of the round trip, the wait for a slot and the expected work. The work is the
+/// class's slot time on a server without slow-down, times the slow-down factor that the owner reported last;
+/// owners report each change of the factor. Caveat: the policy doesn't detect a slow upstream whose backend
+/// server reports no slow-down. Cost: O(candidates).
 /// \sa docs/design/platform.md
 struct TimelyChoice {
     struct Options {
@@ -132,11 +135,14 @@
         Duration slowdownDecayTime = 1s;
         Duration loadDecayTime = 500ms; ///< time constant of the reported load of other ingresses
         double farLoss = 0.15; ///< credit lost for the bytes of a mean call to another data hall
-        /// The messages and the network time of a small call still cost this much.
+        /// Lower bound of the bytes that are charged for a call, relative to a mean call: a small call also
+        /// costs messages and network time.
         double minRelativeBytes = 0.2;
-        /// Bounds the loss, so that a large call still leaves a hall where it would be late.
+        /// Upper bound of the bytes that are charged for a call, relative to a mean call. With the bound, a
+        /// large call still leaves a hall where it would be late.
         double maxRelativeBytes = 4;
-        /// Credit lost per target latency of expected time; prefers the faster upstream among those in time.
+        /// Credit lost when the expected time equals the target latency, in proportion for other times. Among
+        /// upstreams that are in time, the faster one wins.
         double delayLossPerTarget = 0.1;
     };
     Options options {};
--- a/src/Routing/RemainingTimeEstimate.h
+++ b/src/Routing/RemainingTimeEstimate.h
@@ -32,7 +32,7 @@
 private:
     static constexpr double sampleWeight = 0.05;
 
-    std::map<std::string, Ewma, std::less<>> m_workSecondsByClass; ///< mean work by class
+    std::map<std::string, Ewma, std::less<>> m_workSecondsByClass;
     Ewma m_slowPhaseSeconds { sampleWeight };
 };
 
--- a/src/Routing/ServiceRouter.cpp
+++ b/src/Routing/ServiceRouter.cpp
@@ -287,7 +287,7 @@
 void ServiceRouter::onAttemptLate(const std::string& upstream, Instant now)
 {
     auto* view = viewOf(upstream);
-    if (view && view->countLateAnswer() >= m_options.lateAnswersUntilPause)
+    if (view && view->countLateAttempt() >= m_options.lateAttemptsUntilPause)
         view->pauseUntil(now + extendPause(upstream, now));
 }
 
--- a/src/Routing/ServiceRouter.h
+++ b/src/Routing/ServiceRouter.h
@@ -58,8 +58,9 @@
         Duration initialLostPause = 1s; ///< first pause of an upstream whose node doesn't answer
         bool sendsHedges = true; ///< whether an attempt can count as late and lead to a hedged request
         Duration minHedgeDelay = 5ms; ///< least time after which an attempt is late
-        unsigned lateAnswersUntilPause = 3; ///< consecutive late answers after which an upstream is paused
-        Duration leavingTimeout = 5s; ///< after it a leaving upstream gets calls again, in case it stayed
+        unsigned lateAttemptsUntilPause = 3; ///< consecutive late attempts after which an upstream is paused
+        Duration leavingTimeout
+            = 5s; ///< time after which a leaving upstream gets calls again, in case it stays
     };
 
     explicit ServiceRouter(Options options);
@@ -115,8 +116,8 @@
     Duration expectedRemainingTime(
         const std::string& upstream, std::string_view callClass, Duration completedWork);
 
-    /// \brief Takes a load report of the owner. If the backend server is down, pauses the upstream; else
-    /// makes a lost upstream active.
+    /// \brief Handles a load report of the owner of \a upstream. If the backend server is down, pauses the
+    /// upstream as lost. Otherwise reactivates the upstream if it was lost.
     void onLoadReport(const std::string& upstream, const OwnerReport& report, Instant now);
 
     /// \brief Ends any pause of \a upstream and makes it active, for instance because its node is back.
@@ -125,7 +126,7 @@
     /// \brief Counts the first attempt of a call, which earns a part of a retry for its group.
     void recordFirstAttempt(std::uint32_t group) { budgetOf(group).recordFirstAttempt(); }
 
-    /// \returns the sum of the saved retries of all groups. Cost: O(groups).
+    /// \returns the sum of the retries that the groups have saved. Cost: O(groups).
     double savedRetries() const;
 
     /// \brief Spends a retry of the group's budget. \returns false if none is available for \a priority.
@@ -168,14 +169,15 @@
     /// repeatable call; std::nullopt without hedging or before enough latencies have been recorded.
     std::optional<Duration> hedgeDelay() const;
 
-    /// \brief Records that an attempt is late. It stays in flight. Pauses the upstream after several in a
-    /// row.
+    /// \brief Records that an attempt is late, and pauses the upstream after `lateAttemptsUntilPause` late
+    /// attempts in a row. The attempt stays in flight.
     void onAttemptLate(const std::string& upstream, Instant now);
 
     /// \brief Records that the ingress gave up an attempt.
     void onAttemptAbandoned(const std::string& upstream, std::uint32_t group);
 
-    /// \brief Takes the owner's information whether its upstream is leaving.
+    /// \brief Handles the owner's information whether its upstream is leaving: a leaving upstream gets no new
+    /// calls until `leavingTimeout` has passed or the owner says that the upstream stays.
     void setLeaving(const std::string& upstream, bool isLeaving, Instant now);
 
     /// \brief Records a measured round trip: the response time less queueing and slot time.
--- a/src/Routing/UpstreamView.cpp
+++ b/src/Routing/UpstreamView.cpp
@@ -43,7 +43,7 @@
     groupLoad.waiting = report.load.waiting;
     groupLoad.callsOfThisIngress = report.callsOfThisIngress;
     const auto slowPhase = onLoadReport(report);
-    m_consecutiveLateAnswers = 0;
+    m_consecutiveLateAttempts = 0;
     m_isOnTrial = false;
     m_pausedUntil = {};
     m_failureShare.add(isFailure ? 1 : 0);
--- a/src/Routing/UpstreamView.h
+++ b/src/Routing/UpstreamView.h
@@ -65,8 +65,9 @@
         return m_workClock.told(report.load.slowdown, report.receivedAt);
     }
 
-    /// \returns how long a call that is sent now waits because the backend server is cold and the owner paces
-    /// its calls; zero if it doesn't. Includes the wait for the calls that were sent since the last report.
+    /// \returns how long a call that is sent now waits because the owner paces the calls to a cold backend
+    /// server, including the wait for the calls that were sent since the last report; zero if the server
+    /// isn't cold.
     Duration coldStartWait(Instant now) const;
 
     /// \returns the clock that measures the work done on a call at this upstream.
@@ -81,8 +82,8 @@
     /// \brief Adds a measured round trip to the moving average, which starts from the initial value.
     void addRoundTripSample(Duration roundTrip) { m_roundTrip += (roundTrip - m_roundTrip) / 8; }
 
-    /// \brief Counts a late answer. \returns the number of late answers since the last answer that arrived.
-    unsigned countLateAnswer() { return ++m_consecutiveLateAnswers; }
+    /// \brief Counts a late attempt. \returns the number of late attempts since the last answer.
+    unsigned countLateAttempt() { return ++m_consecutiveLateAttempts; }
 
     /// \brief Limits the upstream to one call in flight until an answer arrives.
     void startTrial() { m_isOnTrial = true; }
@@ -149,7 +150,7 @@
     Ewma m_failureShare;
     Instant m_lastFailure {};
     std::optional<Instant> m_slowStartBegin;
-    unsigned m_consecutiveLateAnswers = 0;
+    unsigned m_consecutiveLateAttempts = 0;
     bool m_isOnTrial = false;
     Instant m_pausedUntil {};
 };
--- a/test/HallSubsetTest.cpp
+++ b/test/HallSubsetTest.cpp
@@ -8,8 +8,7 @@
 #include <string>
 #include <vector>
 
-/// \file The load on the upstreams of a large service from the subsets of all ingresses in several data
-/// halls.
+/// \file How evenly the subsets of all ingresses in several data halls load the upstreams of a large service.
 ///
 /// Each hall has an ingress on every host and more upstreams of the service than fit in a subset. The main
 /// case has 144 upstreams on 295 hosts in five halls, with subsets of 24 upstreams; the others are further
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -120,20 +120,21 @@
 
 TEST_CASE("At most half of the upstreams are ejected, and at least half are candidates", "[routing]")
 {
-    rc::prop("for any pattern of failing upstreams", [](const std::vector<bool>& bad) {
-        RC_PRE(!bad.empty());
+    rc::prop("for any pattern of failing upstreams", [](const std::vector<bool>& isFailing) {
+        RC_PRE(!isFailing.empty());
         std::vector<UpstreamView> views;
-        for (std::size_t i = 0; i < bad.size(); ++i) {
+        for (std::size_t i = 0; i < isFailing.size(); ++i) {
             views.emplace_back("u" + std::to_string(i), 12, 1ms);
             for (int k = 0; k < 5; ++k)
-                views.back().onAttemptAnswered(group, ownerReport(0, 1ms, {}, bad[i]), bad[i], {});
+                views.back().onAttemptAnswered(
+                    group, ownerReport(0, 1ms, {}, isFailing[i]), isFailing[i], {});
         }
         Ejection ejection({});
         ejection.update(views, {});
-        RC_ASSERT(ejection.ejectedCount({}) <= bad.size() / 2);
+        RC_ASSERT(ejection.ejectedCount({}) <= isFailing.size() / 2);
         std::vector<std::size_t> out;
         ejection.collectCandidates(views, {}, {}, out);
-        RC_ASSERT(2 * out.size() >= bad.size());
+        RC_ASSERT(2 * out.size() >= isFailing.size());
     });
 }
 
