--- a/bench/decisions/decisions-main.cpp
+++ b/bench/decisions/decisions-main.cpp
@@ -51,7 +51,7 @@
     Random random(1);
     for (auto _ : state) {
         const auto inUse = static_cast<std::uint32_t>(1 + random.below(limit.limit()));
-        limit.ended({ 1, inUse, limit.limit(), Duration(100000 + random.below(50000)), 400ms });
+        limit.addSample({ 1, inUse, limit.limit(), Duration(100000 + random.below(50000)), 400ms });
         benchmark::DoNotOptimize(limit.limit());
     }
 }
@@ -76,18 +76,18 @@
 {
     Admission::Options options;
     options.queueLimit = 100000;
-    options.maxWait = 1000000;
+    options.maxWaitSlotTimes = 1000000;
     Admission admission(options);
     const auto groups = static_cast<std::uint32_t>(state.range(0));
     Instant now {};
     std::uint64_t id = 0;
     std::vector<std::uint64_t> running;
     const auto offer = [&] {
-        Offer it;
+        OfferedCall it;
         it.id = ++id;
         it.group = static_cast<std::uint32_t>(id % groups);
         it.deadline = Instant::max();
-        for (const auto started : admission.offer(it, now).run)
+        for (const auto started : admission.offer(it, now).callsToRun)
             running.push_back(started);
     };
     for (std::uint32_t i = 0; i < 2 * groups + 20; ++i)
@@ -97,7 +97,7 @@
         offer();
         const auto done = running.back();
         running.pop_back();
-        for (const auto started : admission.finished(done, RunEnd::Answered, now).run)
+        for (const auto started : admission.onRunEnded(done, RunOutcome::Answered, now).callsToRun)
             running.push_back(started);
     }
 }
--- a/bench/policy/OracleRun.cpp
+++ b/bench/policy/OracleRun.cpp
@@ -14,7 +14,7 @@
         Admission::Options options;
         options.slots = deployment.slots * deployment.upstreams;
         options.queueLimit = options.queueLimit * deployment.upstreams;
-        options.initialService = deployment.meanService;
+        options.initialSlotTime = deployment.meanService;
         return options;
     }
 
@@ -32,7 +32,7 @@
     for (std::uint32_t i = 0; i < deployment.upstreams; ++i)
         m_backends.emplace_back(deployment, seed * 100 + i);
     for (std::uint32_t i = 0; i < scenario.groups.size(); ++i)
-        m_queue.setWeight(i, scenario.groups[i].weight);
+        m_queue.setGroupWeight(i, scenario.groups[i].weight);
     m_tally.groups.resize(scenario.groups.size());
     schedule();
 }
@@ -81,20 +81,20 @@
     const auto id = ++m_lastId;
     m_calls[id] = { group, ingress, m_loop.now() };
     m_tally.groups[group].demand += m_deployment.meanService;
-    Offer offer;
+    OfferedCall offer;
     offer.id = id;
     offer.group = group;
     offer.deadline = m_loop.now() + m_deployment.deadline;
     act(m_queue.offer(offer, m_loop.now()));
 }
 
-void OracleRun::act(const Dispatch& dispatch)
+void OracleRun::act(const AdmissionResult& dispatch)
 {
-    for (const auto& it : dispatch.refused) {
+    for (const auto& it : dispatch.refusals) {
         ++m_tally.groups[m_calls.at(it.id).group].refused;
         m_calls.erase(it.id);
     }
-    for (const auto id : dispatch.run)
+    for (const auto id : dispatch.callsToRun)
         start(id);
 }
 
@@ -123,7 +123,7 @@
         tally.slotTime += held;
         tally.latencyUs.push_back((m_loop.now() - call.arrived + 2 * bestDelay).count());
         m_calls.erase(id);
-        const auto next = m_queue.finished(id, RunEnd::Answered, m_loop.now());
+        const auto next = m_queue.onRunEnded(id, RunOutcome::Answered, m_loop.now());
         updateSlots();
         act(next);
     });
--- a/bench/policy/OracleRun.h
+++ b/bench/policy/OracleRun.h
@@ -29,7 +29,7 @@
     };
 
     void arrive(std::uint32_t group, std::uint32_t ingress);
-    void act(const Dispatch& dispatch);
+    void act(const AdmissionResult& dispatch);
     void start(std::uint64_t id);
     bool isUsable(std::size_t upstream) const;
     void updateSlots();
--- a/bench/policy/PolicyRun.cpp
+++ b/bench/policy/PolicyRun.cpp
@@ -26,7 +26,7 @@
     {
         Admission::Options options;
         options.slots = deployment.slots;
-        options.initialService = deployment.meanService;
+        options.initialSlotTime = deployment.meanService;
         return options;
     }
 
@@ -49,7 +49,7 @@
                 Ewma(errorSampleWeight), {}, false, false, Instant::max() }));
         m_upstreamByName[m_upstreams.back()->name] = i;
         for (std::uint32_t group = 0; group < scenario.groups.size(); ++group)
-            m_upstreams.back()->admission.setWeight(group, scenario.groups[group].weight);
+            m_upstreams.back()->admission.setGroupWeight(group, scenario.groups[group].weight);
     }
     for (std::uint32_t i = 0; i < deployment.ingresses; ++i) {
         const auto hall = i % deployment.halls;
--- a/bench/policy/PolicyRun.h
+++ b/bench/policy/PolicyRun.h
@@ -72,7 +72,7 @@
     void proceed(std::uint64_t callId);
     void send(std::uint64_t callId, std::size_t upstream);
     void takeAtOwner(std::uint64_t attemptId, Duration elsewhere, Instant deadline);
-    void act(std::size_t upstream, const Dispatch& dispatch);
+    void act(std::size_t upstream, const AdmissionResult& dispatch);
     void runAt(std::size_t upstream, std::uint64_t attemptId);
     void endedAt(std::uint64_t attemptId, FakeBackend::Run run);
     void answer(std::uint64_t attemptId, End end, Reason reason, Duration held);
--- a/bench/policy/PolicyRunOwners.cpp
+++ b/bench/policy/PolicyRunOwners.cpp
@@ -19,19 +19,19 @@
         return;
     attempt.arrivedAtOwner = m_loop.now();
     ++upstream.inHand[{ call->second.ingress, call->second.group }];
-    Offer offer;
+    OfferedCall offer;
     offer.id = attemptId;
     offer.group = call->second.group;
     offer.deadline = deadline;
-    offer.elsewhere = elsewhere;
+    offer.slotTimeElsewhere = elsewhere;
     act(attempt.upstream, upstream.admission.offer(offer, m_loop.now()));
 }
 
-void PolicyRun::act(std::size_t upstream, const Dispatch& dispatch)
+void PolicyRun::act(std::size_t upstream, const AdmissionResult& dispatch)
 {
-    for (const auto& it : dispatch.refused)
+    for (const auto& it : dispatch.refusals)
         answer(it.id, End::Refused, it.reason, {});
-    for (const auto id : dispatch.run)
+    for (const auto id : dispatch.callsToRun)
         runAt(upstream, id);
 }
 
@@ -49,7 +49,7 @@
             if (owner.isDead)
                 return;
             owner.errors.add(1);
-            const auto next = owner.admission.finished(attemptId, RunEnd::Answered, m_loop.now());
+            const auto next = owner.admission.onRunEnded(attemptId, RunOutcome::Answered, m_loop.now());
             answer(attemptId, End::Refused, Reason::BackendUnreachable, {});
             act(index, next);
         });
@@ -67,7 +67,7 @@
     if (upstream.isDead || attempt.isOver)
         return;
     upstream.errors.add(run.isFailure ? 1 : 0);
-    const auto next = upstream.admission.finished(attemptId, RunEnd::Answered, m_loop.now());
+    const auto next = upstream.admission.onRunEnded(attemptId, RunOutcome::Answered, m_loop.now());
     answer(attemptId, run.isFailure ? End::Failed : End::Answered, Reason::None, run.held);
     act(index, next);
 }
@@ -76,17 +76,17 @@
 {
     auto& upstream = *m_upstreams[index];
     Report report;
-    report.load = upstream.admission.loadFor(group, m_loop.now());
-    report.queued = upstream.admission.load(m_loop.now()).waiting;
+    report.load = upstream.admission.loadForGroup(group, m_loop.now());
+    report.queued = upstream.admission.load(m_loop.now()).waitingCalls;
     report.yours = upstream.inHand[{ ingress, group }];
     report.errorShare = upstream.errors.value();
     const bool lies = m_scenario.has(ScenarioKind::LyingLoad) && index == 0 && !isOwn();
     if (lies) {
         // Baselines know load from the server's own endpoint; robinrun never asks it.
-        report.load.inUse = 0;
-        report.load.waiting = 0;
+        report.load.slotsInUse = 0;
+        report.load.waitingCalls = 0;
         report.queued = 0;
-        report.load.service = m_deployment.meanService / 10;
+        report.load.meanSlotTime = m_deployment.meanService / 10;
     }
     return report;
 }
@@ -124,7 +124,7 @@
     if (!attempt.isRunning || upstream.backend.isDown)
         return;
     attempt.isOver = true;
-    act(index, upstream.admission.finished(attemptId, RunEnd::Answered, m_loop.now()));
+    act(index, upstream.admission.onRunEnded(attemptId, RunOutcome::Answered, m_loop.now()));
 }
 
 void PolicyRun::probeTick(std::size_t index)
@@ -134,10 +134,10 @@
     m_loop.after(probeEvery, [this, index] { probeTick(index); });
     auto& upstream = *m_upstreams[index];
     if (!upstream.isDead)
-        act(index, upstream.admission.giveUpHopeless(m_loop.now()));
+        act(index, upstream.admission.refuseCallsMissingDeadline(m_loop.now()));
     const auto load = upstream.admission.load(m_loop.now());
-    if (upstream.isDead || upstream.isProbing || load.inUse >= load.slots
-        || !upstream.probes.tryStart(load.waiting, m_loop.now()))
+    if (upstream.isDead || upstream.isProbing || load.slotsInUse >= load.slotLimit
+        || !upstream.probes.tryStart(load.waitingCalls, m_loop.now()))
         return;
     upstream.isProbing = true;
     upstream.admission.holdSlot();
--- a/bench/shared/SharedRun.cpp
+++ b/bench/shared/SharedRun.cpp
@@ -56,9 +56,9 @@
         const auto index = m_upstreams.size();
         Admission::Options admission;
         admission.slots = m_site.slots;
-        admission.limit = m_options.limit;
-        admission.share = m_options.usableShare;
-        admission.initialService = service ? m_site.nestedWork : m_site.work;
+        admission.limitKind = m_options.limit;
+        admission.slotShare = m_options.usableShare;
+        admission.initialSlotTime = service ? m_site.nestedWork : m_site.work;
         m_upstreams.push_back({ "u" + std::to_string(index), service, i % m_site.halls, Admission(admission),
             SharedBackend(m_site, m_options.seed * 1000 + index) });
         m_byName[m_upstreams.back().name] = index;
@@ -135,20 +135,20 @@
         && !isSlow(upstream.admission.load(m_loop.now()).slowdown);
     if (onlyAtOnce && !isReady)
         return answer(id, Reason::Busy);
-    Offer offer;
+    OfferedCall offer;
     offer.id = id;
     offer.group = group;
     offer.priority = call.parent ? priorityOfNested : priorityOfCallers;
     offer.deadline = call.deadline;
-    offer.inTimeUntil = call.parent ? call.deadline : call.arrived + call.target;
+    offer.softDeadline = call.parent ? call.deadline : call.arrived + call.target;
     act(upstream.admission.offer(offer, m_loop.now()));
 }
 
-void SharedRun::act(const Dispatch& dispatch)
+void SharedRun::act(const AdmissionResult& dispatch)
 {
-    for (const auto& it : dispatch.refused)
+    for (const auto& it : dispatch.refusals)
         answer(it.id, it.reason);
-    for (const auto id : dispatch.run)
+    for (const auto id : dispatch.callsToRun)
         runAtBackend(id);
 }
 
@@ -158,7 +158,7 @@
     auto& upstream = m_upstreams[call.upstream];
     call.started = m_loop.now();
     const auto work = call.service ? m_site.nestedWork : m_site.work;
-    const auto takes = upstream.backend.run(work, upstream.admission.inUse(), m_loop.now());
+    const auto takes = upstream.backend.run(work, upstream.admission.slotsInUse(), m_loop.now());
     const auto left = call.deadline - m_loop.now();
     call.hasFailed = takes > left;
     m_loop.after(std::min(takes, left), [this, id] { workDone(id); });
@@ -184,17 +184,17 @@
 {
     const auto& call = m_calls.at(id);
     const auto upstream = call.upstream;
-    const auto end = call.hasFailed ? RunEnd::Failed : RunEnd::Answered;
+    const auto end = call.hasFailed ? RunOutcome::Failed : RunOutcome::Answered;
     learn(upstream);
     answer(id, call.hasFailed ? Reason::BackendFailed : Reason::None);
-    act(m_upstreams[upstream].admission.finished(id, end, m_loop.now()));
+    act(m_upstreams[upstream].admission.onRunEnded(id, end, m_loop.now()));
 }
 
 Report SharedRun::reportOf(const Upstream& upstream) const
 {
     Report report;
     report.load = upstream.admission.load(m_loop.now());
-    report.queued = report.load.waiting;
+    report.queued = report.load.waitingCalls;
     return report;
 }
 
@@ -296,7 +296,7 @@
 
 void SharedRun::tick(std::size_t index)
 {
-    act(m_upstreams[index].admission.giveUpHopeless(m_loop.now()));
+    act(m_upstreams[index].admission.refuseCallsMissingDeadline(m_loop.now()));
     if (m_loop.now() < Instant(m_options.length))
         m_loop.after(tickEvery, [this, index] { tick(index); });
 }
--- a/bench/shared/SharedRun.h
+++ b/bench/shared/SharedRun.h
@@ -34,7 +34,8 @@
         ChoiceKind kind = ChoiceKind::Timely;
         News news = News::ToldAndAsked;
         double load = 0.75; ///< of the capacity at full use of all slots
-        LimitKind limit = LimitKind::Learnt; ///< on the calls that an owner runs at once
+        ConcurrencyLimitKind limit
+            = ConcurrencyLimitKind::Learnt; ///< on the calls that an owner runs at once
         double usableShare = 1; ///< of the slots that owners use, with a fixed limit
         Duration probeEvery = 50ms; ///< while an owner believes that its server is slow; 0: never
         Duration length = 30s;
@@ -86,7 +87,7 @@
     CallId begin(std::size_t service, std::size_t ingress, CallId parent, Instant deadline, Duration target);
     void proceed(CallId id);
     void takeAtOwner(CallId id, bool onlyAtOnce);
-    void act(const Dispatch& dispatch);
+    void act(const AdmissionResult& dispatch);
     void runAtBackend(CallId id);
     void workDone(CallId id);
     void ended(CallId id);
--- a/bench/shared/limits-main.cpp
+++ b/bench/shared/limits-main.cpp
@@ -16,7 +16,7 @@
 using namespace robinrun;
 using namespace robinrun::bench;
 
-double inTime(const LimitCell& cell, LimitKind kind, double share, std::uint64_t seed)
+double inTime(const LimitCell& cell, ConcurrencyLimitKind kind, double share, std::uint64_t seed)
 {
     SharedRun::Options options;
     options.limit = kind;
@@ -32,13 +32,14 @@
 {
     std::pair<double, double> oracle;
     for (const auto share : fixedShares)
-        oracle = std::max(oracle, { inTime(cell, LimitKind::Fixed, share, seed), share });
+        oracle = std::max(oracle, { inTime(cell, ConcurrencyLimitKind::Fixed, share, seed), share });
     std::printf("{\"knee\":\"%s\",\"noise\":\"%s\",\"cold\":\"%s\",\"slots\":%u,\"load\":%.1f,\"seed\":%llu",
         cell.knee.name.data(), cell.noise.name.data(), cell.cold.name.data(), cell.slots, cell.load,
         static_cast<unsigned long long>(seed));
     std::printf(",\"oracle\":%.4f,\"oracle_share\":%.2f,\"fixed_0.8\":%.4f", oracle.first, oracle.second,
-        inTime(cell, LimitKind::Fixed, 0.8, seed));
-    for (const auto kind : { LimitKind::Gradient, LimitKind::Aimd, LimitKind::Learnt })
+        inTime(cell, ConcurrencyLimitKind::Fixed, 0.8, seed));
+    for (const auto kind :
+        { ConcurrencyLimitKind::Gradient, ConcurrencyLimitKind::Aimd, ConcurrencyLimitKind::Learnt })
         std::printf(",\"%s\":%.4f", nameOf(kind).data(), inTime(cell, kind, 1, seed));
     std::puts("}");
 }
--- a/bench/shared/shared-main.cpp
+++ b/bench/shared/shared-main.cpp
@@ -64,7 +64,7 @@
     }
     for (const double usable : { 0.7, 0.8, 0.9, 1.0 }) {
         auto it = usual;
-        it.limit = LimitKind::Fixed;
+        it.limit = ConcurrencyLimitKind::Fixed;
         it.usableShare = usable;
         out.push_back(it);
     }
--- a/src/Mesh/MeshNode.cpp
+++ b/src/Mesh/MeshNode.cpp
@@ -255,10 +255,12 @@
 void MeshNode::addBackendGauges()
 {
     auto& metrics = m_context.metrics;
+    metrics.gauge("robinrun_backend_cold_seconds",
+        [this] { return toSeconds(m_owner->load(monotonicNow()).remainingWarmUp); });
     metrics.gauge(
-        "robinrun_backend_cold_seconds", [this] { return toSeconds(m_owner->load(monotonicNow()).coldFor); });
-    metrics.gauge("robinrun_slots_in_use", [this] { return double(m_owner->load(monotonicNow()).inUse); });
-    metrics.gauge("robinrun_calls_waiting", [this] { return double(m_owner->load(monotonicNow()).waiting); });
+        "robinrun_slots_in_use", [this] { return double(m_owner->load(monotonicNow()).slotsInUse); });
+    metrics.gauge(
+        "robinrun_calls_waiting", [this] { return double(m_owner->load(monotonicNow()).waitingCalls); });
     metrics.gauge("robinrun_backend_slowdown", [this] { return m_owner->load(monotonicNow()).slowdown; });
     metrics.gauge("robinrun_backend_down", [this] { return m_owner->isBackendDown() ? 1.0 : 0.0; });
     metrics.gauge(
--- a/src/Node/Ingress.cpp
+++ b/src/Node/Ingress.cpp
@@ -366,7 +366,7 @@
     if (view && view->report()) {
         const auto& report = *view->report();
         entry.numbers.emplace_back("news_age_ms", (now - report.heard).count() / 1000);
-        entry.numbers.emplace_back("told_in_use", report.load.inUse);
+        entry.numbers.emplace_back("told_in_use", report.load.slotsInUse);
         entry.numbers.emplace_back("told_queued", report.queued);
         entry.numbers.emplace_back(
             "told_slowdown_percent", static_cast<std::int64_t>(report.load.slowdown * 100));
--- a/src/Node/IngressAnswers.cpp
+++ b/src/Node/IngressAnswers.cpp
@@ -38,10 +38,10 @@
         Report report;
         report.load = { load.slots(), load.in_use(), load.waiting(), Duration(load.service_us()) };
         report.load.slowdown = load.slowdown_permille() ? load.slowdown_permille() / permille : 1;
-        report.load.isDown = load.down();
-        report.load.coldFor = std::chrono::milliseconds(load.cold_ms());
-        report.load.coldPerSecond = load.cold_per_s();
-        report.load.nextStart = Duration(load.next_start_us());
+        report.load.isUnreachable = load.down();
+        report.load.remainingWarmUp = std::chrono::milliseconds(load.cold_ms());
+        report.load.warmUpCallsPerSecond = load.cold_per_s();
+        report.load.timeToNextStart = Duration(load.next_start_us());
         report.yours = load.yours();
         report.queued = load.queued();
         report.errorShare = load.error_permille() / permille;
--- a/src/Node/IngressEnd.cpp
+++ b/src/Node/IngressEnd.cpp
@@ -124,7 +124,7 @@
     const auto* view = m_routers.at(call.request.service)->find(upstream);
     const auto& report = *view->report();
     const auto wait = view->coldWait(now);
-    const auto coldLeft = std::max(report.load.coldFor - (now - report.heard), wait);
+    const auto coldLeft = std::max(report.load.remainingWarmUp - (now - report.heard), wait);
     call.trail.setNotable();
     call.trail.add({ RequestEvent::UpstreamCold, now, upstream, 0, Reason::WarmingUp,
         { { "wait_ms", wait.count() / 1000 }, { "cold_ms", coldLeft.count() / 1000 },
--- a/src/Node/Node.cpp
+++ b/src/Node/Node.cpp
@@ -106,8 +106,10 @@
     auto& metrics = m_context.metrics;
     metrics.gauge("robinrun_applied_offset", [this] { return double(m_control->follower().nextOffset()); });
     metrics.gauge("robinrun_calls_in_progress", [this] { return double(m_ingress->inProgress()); });
-    metrics.gauge("robinrun_slots_in_use", [this] { return double(m_owner->load(monotonicNow()).inUse); });
-    metrics.gauge("robinrun_calls_waiting", [this] { return double(m_owner->load(monotonicNow()).waiting); });
+    metrics.gauge(
+        "robinrun_slots_in_use", [this] { return double(m_owner->load(monotonicNow()).slotsInUse); });
+    metrics.gauge(
+        "robinrun_calls_waiting", [this] { return double(m_owner->load(monotonicNow()).waitingCalls); });
     metrics.gauge("robinrun_peer_links", [this] { return double(m_peers->links()); });
     metrics.gauge("robinrun_claim_appends_total", [this] { return double(m_claims->appends()); });
     const auto* kinds = proto::PeerMessage::descriptor()->FindOneofByName("body");
--- a/src/Node/OperatorJson.cpp
+++ b/src/Node/OperatorJson.cpp
@@ -17,8 +17,8 @@
             = follower.standing() == LogStanding::Followed && follower.knownEnd() <= follower.nextOffset();
         out << "{\"node\":\"" << context.settings.name << "\",\"incarnation\":\"" << context.incarnation
             << "\",\"state\":\"" << nameOf(facts.state) << "\",\"upstream\":\"" << context.settings.upstream
-            << "\",\"upstream_state\":\"" << facts.upstreamState << "\",\"slots\":" << facts.load.slots
-            << ",\"in_use\":" << facts.load.inUse << ",\"waiting\":" << facts.load.waiting
+            << "\",\"upstream_state\":\"" << facts.upstreamState << "\",\"slots\":" << facts.load.slotLimit
+            << ",\"in_use\":" << facts.load.slotsInUse << ",\"waiting\":" << facts.load.waitingCalls
             << ",\"applied\":" << follower.nextOffset() << ",\"log\":\"" << nameOf(follower.standing())
             << "\",\"log_id\":\"" << escapeJson(follower.logId())
             << "\",\"known_end\":" << follower.knownEnd()
--- a/src/Node/Owner.cpp
+++ b/src/Node/Owner.cpp
@@ -19,12 +19,12 @@
     /// Of what the deployment allows on top of a cold server's pace: questions for its health may count too.
     constexpr double spareStarts = 2;
 
-    WarmUpTerms warmUpTerms(const proto::Service& service, double factor, double burst)
+    WarmUpSettings warmUpTerms(const proto::Service& service, double factor, double burst)
     {
-        WarmUpTerms out;
-        out.length = std::chrono::milliseconds(service.warm_up_ms());
-        out.bound.perSecond = factor * service.warm_up_per_s();
-        out.bound.burst = std::max(burst - spareStarts, 0.0);
+        WarmUpSettings out;
+        out.duration = std::chrono::milliseconds(service.warm_up_ms());
+        out.rateLimit.callsPerSecond = factor * service.warm_up_per_s();
+        out.rateLimit.burstCalls = std::max(burst - spareStarts, 0.0);
         return out;
     }
 
@@ -75,13 +75,14 @@
     const auto& serviceInfo = *service();
     const auto slots = info->config.slots();
     m_admission.setSlots(slots);
-    m_admission.setLimit(m_context->settings.admission.limit, m_context->settings.admission.usableShare);
+    m_admission.setLimitKind(m_context->settings.admission.limit, m_context->settings.admission.usableShare);
     m_admission.setQueueLimit(serviceInfo.config.queue_limit());
     const auto& admission = m_context->settings.admission;
-    m_admission.warmUp().setKind(admission.coldPace);
-    m_admission.warmUp().setTerms(warmUpTerms(serviceInfo.config, admission.coldFactor, admission.coldBurst));
+    m_admission.warmUp().setPacerKind(admission.coldPace);
+    m_admission.warmUp().setSettings(
+        warmUpTerms(serviceInfo.config, admission.coldFactor, admission.coldBurst));
     for (const auto& it : m_context->directory.groups())
-        m_admission.setWeight(it.number, it.weightIn(m_serviceId));
+        m_admission.setGroupWeight(it.number, it.weightIn(m_serviceId));
     // Before another life is turned to: that asks the server for its health.
     m_prober.setPath(serviceInfo.config.health_path(), m_context->headers);
     m_prober.setOptions(
@@ -128,8 +129,8 @@
     std::erase_if(m_ingresses, [&](const auto& it) { return now - it.second.lastCall > ingressMemory; });
     std::erase_if(m_formerPools, [](const auto& it) { return it->isIdle(); });
     if (m_context->settings.experiments.isOn(Mechanism::GiveUpHopeless))
-        act(m_admission.giveUpHopeless(now), now);
-    act(m_admission.resume(now), now); // what was held back for calls that did not come
+        act(m_admission.refuseCallsMissingDeadline(now), now);
+    act(m_admission.startReadyCalls(now), now); // what was held back for calls that did not come
     if (m_pool)
         probeBackend(now);
 }
@@ -203,7 +204,7 @@
     if (!terms.nested() && !terms.ranked())
         return false;
     const auto place = placeOf(terms);
-    return m_admission.goesNext(
+    return m_admission.wouldGetNextSlot(
         m_context->directory.knownGroupNumber(call.group()), place.rank, place.priority);
 }
 
@@ -299,24 +300,24 @@
     return record;
 }
 
-void Owner::noteQueued(CallRecord& record, const Offer& offer, Instant now) const
+void Owner::noteQueued(CallRecord& record, const OfferedCall& offer, Instant now) const
 {
     const auto load = m_admission.load(now);
     record.trail.add({ RequestEvent::Queued, now, upstream(), record.call.number(), Reason::None,
-        { { "in_use", load.inUse }, { "slots", load.slots }, { "queued", load.waiting },
+        { { "in_use", load.slotsInUse }, { "slots", load.slotLimit }, { "queued", load.waitingCalls },
             { "priority", offer.priority }, { "left_ms", (record.deadline - now).count() / 1000 },
             { "slowdown_percent", static_cast<std::int64_t>(load.slowdown * percent) },
             { "news_age_ms", m_loadHeard ? (now - *m_loadHeard).count() / 1000 : neverHeard } } });
 }
 
-Offer Owner::offerOf(std::uint64_t id, const CallRecord& record, Instant now)
+OfferedCall Owner::offerOf(std::uint64_t id, const CallRecord& record, Instant now)
 {
     const auto& call = record.call;
-    Offer offer;
+    OfferedCall offer;
     offer.id = id;
     offer.group = m_context->directory.groupNumber(call.group());
     offer.deadline = record.deadline;
-    offer.elsewhere = Duration(call.elsewhere_us());
+    offer.slotTimeElsewhere = Duration(call.elsewhere_us());
     if (!record.isByRoute) {
         const auto& callClass = service()->classOf(call.target());
         offer.callClass = m_classNumbers(callClass.name);
@@ -334,24 +335,24 @@
     offer.rank = place.rank;
     offer.priority = place.priority;
     if (!terms.nested())
-        offer.inTimeUntil = now + Duration(terms.target_latency_us());
+        offer.softDeadline = now + Duration(terms.target_latency_us());
     else
-        offer.inTimeUntil = offer.deadline;
+        offer.softDeadline = offer.deadline;
     return offer;
 }
 
-void Owner::act(const Dispatch& dispatch, Instant now)
+void Owner::act(const AdmissionResult& dispatch, Instant now)
 {
-    for (const auto& it : dispatch.refused)
+    for (const auto& it : dispatch.refusals)
         refuse(it, now);
-    for (const auto id : dispatch.run)
+    for (const auto id : dispatch.callsToRun)
         run(id, now);
     resumeInTime(now);
 }
 
 void Owner::resumeInTime(Instant now)
 {
-    const auto next = m_admission.nextStart(now);
+    const auto next = m_admission.nextPacedStart(now);
     if (next == m_resumesAt)
         return;
     m_resumesAt = next;
@@ -362,7 +363,7 @@
     m_resumeTimer = Timer::once(m_context->base, delay, [this] {
         const auto then = monotonicNow();
         m_resumesAt.reset();
-        act(m_admission.resume(then), then);
+        act(m_admission.startReadyCalls(then), then);
     });
 }
 
--- a/src/Node/Owner.h
+++ b/src/Node/Owner.h
@@ -199,9 +199,9 @@
         const RecordedAnswer& recorded, Instant now);
     void admit(const proto::Call& call, const Sender& sender, Reply reply, Instant now);
     CallRecord recordOf(const proto::Call& call, const Sender& sender, Reply reply, Instant now) const;
-    void noteQueued(CallRecord& record, const Offer& offer, Instant now) const;
-    void act(const Dispatch& dispatch, Instant now);
-    Offer offerOf(std::uint64_t id, const CallRecord& record, Instant now);
+    void noteQueued(CallRecord& record, const OfferedCall& offer, Instant now) const;
+    void act(const AdmissionResult& dispatch, Instant now);
+    OfferedCall offerOf(std::uint64_t id, const CallRecord& record, Instant now);
     void noteEnd(CallRecord& record, const proto::Answer& answer, Instant now);
     void run(std::uint64_t id, Instant now);
     proto::Answer answerOf(HttpReply& reply, Instant now);
--- a/src/Node/OwnerAnswers.cpp
+++ b/src/Node/OwnerAnswers.cpp
@@ -127,8 +127,8 @@
     const auto load = m_admission.load(now);
     RequestTrail::Entry entry { event, now, upstream(), record.call.number(), reason,
         { { "status", answer.status() }, { "queued_ms", answer.queued_us() / 1000 },
-            { "held_ms", answer.held_us() / 1000 }, { "in_use", load.inUse }, { "queued", load.waiting },
-            { "retry_after_ms", answer.retry_after_ms() },
+            { "held_ms", answer.held_us() / 1000 }, { "in_use", load.slotsInUse },
+            { "queued", load.waitingCalls }, { "retry_after_ms", answer.retry_after_ms() },
             { "not_run", answer.outcome() == proto::NOT_RUN } } };
     if (event == RequestEvent::BackendFailed)
         entry.numbers.emplace_back("content", static_cast<std::int64_t>(contentIdOf(contentOf(record.call))));
@@ -139,20 +139,20 @@
 
 proto::Load Owner::loadNews(std::uint64_t senderLife, const std::string& group, Instant now) const
 {
-    const auto load = m_admission.loadFor(m_context->directory.groupNumber(group), now);
+    const auto load = m_admission.loadForGroup(m_context->directory.groupNumber(group), now);
     proto::Load out;
-    out.set_slots(load.slots);
-    out.set_in_use(load.inUse);
-    out.set_waiting(load.waiting);
-    out.set_queued(m_admission.load(now).waiting);
-    out.set_service_us(static_cast<std::uint32_t>(load.service.count()));
+    out.set_slots(load.slotLimit);
+    out.set_in_use(load.slotsInUse);
+    out.set_waiting(load.waitingCalls);
+    out.set_queued(m_admission.load(now).waitingCalls);
+    out.set_service_us(static_cast<std::uint32_t>(load.meanSlotTime.count()));
     out.set_state(
         static_cast<std::uint32_t>(m_leaving.isLeaving() ? UpstreamState::Leaving : UpstreamState::Active));
     out.set_slowdown_permille(static_cast<std::uint32_t>(load.slowdown * permille));
     out.set_down(m_isDown);
-    out.set_cold_ms(static_cast<std::uint32_t>(toMilliseconds(load.coldFor)));
-    out.set_cold_per_s(load.coldPerSecond);
-    out.set_next_start_us(static_cast<std::uint32_t>(load.nextStart.count()));
+    out.set_cold_ms(static_cast<std::uint32_t>(toMilliseconds(load.remainingWarmUp)));
+    out.set_cold_per_s(load.warmUpCallsPerSecond);
+    out.set_next_start_us(static_cast<std::uint32_t>(load.timeToNextStart.count()));
     const auto it = m_bySender.find({ senderLife, group });
     out.set_yours(it == m_bySender.end() ? 0 : it->second);
     out.set_error_permille(static_cast<std::uint32_t>(m_errors.value() * permille));
--- a/src/Node/OwnerLife.cpp
+++ b/src/Node/OwnerLife.cpp
@@ -33,7 +33,7 @@
     }
     m_isDown = false;
     m_unreached = 0;
-    m_admission.restart();
+    m_admission.resetLimit();
     m_admission.setSlowdown(m_toldSlowdown = 1, now);
     m_loadHeard.reset();
     m_errors = Ewma(errorSampleWeight);
--- a/src/Node/OwnerRun.cpp
+++ b/src/Node/OwnerRun.cpp
@@ -55,14 +55,14 @@
         return probe(now);
     if (m_leaving.hasSign(LeavingSign::Operator))
         return; // nothing that a server might count as work
-    const auto freeSlots = load.slots > load.inUse ? load.slots - load.inUse : 0;
-    const bool isStarted
-        = m_prober.tryProbe(*m_pool, freeSlots, load.waiting, now, [this](const ProbeNews& news, Duration) {
-              const auto end = monotonicNow();
-              act(m_admission.releaseSlot(end), end);
-              if (news.isReachable)
-                  setSign(LeavingSign::BackendServer, news.isDraining, end);
-          });
+    const auto freeSlots = load.slotLimit > load.slotsInUse ? load.slotLimit - load.slotsInUse : 0;
+    const bool isStarted = m_prober.tryProbe(
+        *m_pool, freeSlots, load.waitingCalls, now, [this](const ProbeNews& news, Duration) {
+            const auto end = monotonicNow();
+            act(m_admission.releaseSlot(end), end);
+            if (news.isReachable)
+                setSign(LeavingSign::BackendServer, news.isDraining, end);
+        });
     if (!isStarted)
         return;
     m_admission.holdSlot();
@@ -73,34 +73,34 @@
 {
     if (m_leaving.hasSign(LeavingSign::Operator))
         return false;
-    if (m_admission.warmUp().isInDoubt(now))
+    if (m_admission.warmUp().isUncertain(now))
         return true;
     const auto& experiments = m_context->settings.experiments;
     // Its answers would tell, but they are what is late.
     const bool isNewsOld = m_loadHeard && now - *m_loadHeard >= probeWhileOverdue;
-    if (isNewsOld && experiments.isOn(Mechanism::ProbeOverdue) && m_admission.hasOverdue(now))
+    if (isNewsOld && experiments.isOn(Mechanism::ProbeOverdue) && m_admission.hasOverdueRun(now))
         return true;
     // A cold server is slow, as it has said; calls are few then, and each answer tells its slow-down.
-    const bool isSlowUnexplained = isSlow(load.slowdown) && load.coldFor == Duration::zero();
+    const bool isSlowUnexplained = isSlow(load.slowdown) && load.remainingWarmUp == Duration::zero();
     return experiments.isOn(Mechanism::ProbeWhileSlow) && isSlowUnexplained
         && (!m_loadHeard || now - *m_loadHeard >= probeWhileSlow);
 }
 
 void Owner::heardWarmUp(Duration left, Instant now)
 {
-    m_admission.warmUp().announced(left, now);
+    m_admission.warmUp().onAnnouncement(left, now);
     noteWarmUp(now);
 }
 
 void Owner::answeredWarmUp(Duration left, Instant asked, Instant now)
 {
-    m_admission.warmUp().answered(left, asked, now);
+    m_admission.warmUp().onHealthAnswer(left, asked, now);
     noteWarmUp(now);
 }
 
 void Owner::doubtWarmth(Instant now)
 {
-    m_admission.warmUp().doubt(now);
+    m_admission.warmUp().markUncertain(now);
     if (m_pool && asksHealth(m_admission.load(now), now))
         probe(now);
     noteWarmUp(now);
@@ -112,10 +112,10 @@
     if (std::exchange(m_loggedCold, warmUp.isCold(now)) == warmUp.isCold(now))
         return;
     log(LogLevel::Info, m_loggedCold ? "backend-cold" : "backend-warm",
-        { { "upstream", upstream() }, { "cold_for_ms", toMilliseconds(warmUp.left(now)) },
-            { "in_doubt", warmUp.isInDoubt(now) }, { "calls_per_s", warmUp.perSecond() },
-            { "in_use", m_admission.inUse() } });
-    act(m_admission.resume(now), now);
+        { { "upstream", upstream() }, { "cold_for_ms", toMilliseconds(warmUp.remainingTime(now)) },
+            { "in_doubt", warmUp.isUncertain(now) }, { "calls_per_s", warmUp.callsPerSecond() },
+            { "in_use", m_admission.slotsInUse() } });
+    act(m_admission.startReadyCalls(now), now);
     tellLoad(now);
 }
 
@@ -157,7 +157,7 @@
         return;
     log(LogLevel::Info, "limit-changed",
         { { "upstream", upstream() }, { "limit", limit }, { "before", m_loggedLimit },
-            { "in_use", m_admission.inUse() } });
+            { "in_use", m_admission.slotsInUse() } });
     m_loggedLimit = limit;
 }
 
@@ -286,7 +286,7 @@
     noteRunEnd(record, result, answer, now);
     const bool isFailure = answer.outcome() != proto::ANSWERED
         || answer.status() >= static_cast<std::uint32_t>(firstServerError);
-    const auto next = m_admission.finished(id, isFailure ? RunEnd::Failed : RunEnd::Answered, now);
+    const auto next = m_admission.onRunEnded(id, isFailure ? RunOutcome::Failed : RunOutcome::Answered, now);
     noteLimit();
     answer.set_queued_us(static_cast<std::uint32_t>((record.started - record.arrived).count()));
     answer.set_held_us(static_cast<std::uint32_t>((now - record.started).count()));
@@ -322,7 +322,7 @@
     auto& record = m_calls.at(id);
     record.pool->cancel(record.request);
     m_crashWatch.cutOff(suspectOf(record, now), now);
-    const auto next = m_admission.finished(id, RunEnd::Failed, now);
+    const auto next = m_admission.onRunEnded(id, RunOutcome::Failed, now);
     proto::Answer answer;
     answer.set_outcome(proto::UNKNOWN);
     answer.set_reason(static_cast<std::uint32_t>(reason));
--- a/src/Queueing/Admission.cpp
+++ b/src/Queueing/Admission.cpp
@@ -12,12 +12,12 @@
 
     /// A server stops at the deadline that it was told in whole milliseconds, and its answer crosses the
     /// network: a call that fails so shortly before its deadline, or later, ran out of time.
-    constexpr Duration deadlineSlack = 20ms;
+    constexpr Duration deadlineTolerance = 20ms;
 
     /// Runs during which the server told of a slow-down teach most limits nothing: only a part of what a call
     /// does is slowed, and news of the slow-down is old. A run is calm if its work took this part of its time
     /// at least.
-    constexpr double calmShare = 0.95;
+    constexpr double minCalmWorkRatio = 0.95;
 
     /// Work varies by a third: a run that takes longer than that is unusual.
     constexpr double overdueFactor = 1.3;
@@ -26,9 +26,9 @@
 
 Admission::Admission(Options options)
     : m_options(options)
-    , m_limit(makeLimit(options.limit, options.slots, options.share))
-    , m_queue(options.queueLimit, options.maxElsewhere)
-    , m_service(options.initialService)
+    , m_concurrencyLimit(makeConcurrencyLimit(options.limitKind, options.slots, options.slotShare))
+    , m_queue(options.queueLimit, options.maxSlotTimeElsewhere)
+    , m_slotTimeEstimate(options.initialSlotTime)
 {
 }
 
@@ -37,287 +37,300 @@
     if (slots == m_options.slots)
         return;
     m_options.slots = slots;
-    m_limit = makeLimit(m_options.limit, slots, m_options.share);
+    m_concurrencyLimit = makeConcurrencyLimit(m_options.limitKind, slots, m_options.slotShare);
 }
 
-void Admission::restart()
+void Admission::resetLimit()
 {
-    m_limit = makeLimit(m_options.limit, m_options.slots, m_options.share);
+    m_concurrencyLimit = makeConcurrencyLimit(m_options.limitKind, m_options.slots, m_options.slotShare);
 }
 
-void Admission::setLimit(LimitKind kind, double share)
+void Admission::setLimitKind(ConcurrencyLimitKind kind, double share)
 {
-    if (kind == m_options.limit && share == m_options.share)
+    if (kind == m_options.limitKind && share == m_options.slotShare)
         return;
-    m_options.limit = kind;
-    m_options.share = share;
-    m_limit = makeLimit(kind, m_options.slots, share);
+    m_options.limitKind = kind;
+    m_options.slotShare = share;
+    m_concurrencyLimit = makeConcurrencyLimit(kind, m_options.slots, share);
 }
 
 void Admission::setSlowdown(double factor, Instant now)
 {
-    m_service.setSlowdown(factor);
-    m_workClock.told(factor, now);
+    m_slotTimeEstimate.setSlowdown(factor);
+    m_workClock.setSlowdown(factor, now);
 }
 
 std::uint32_t Admission::limit() const
 {
-    return std::visit([](const auto& it) { return it.limit(); }, m_limit);
+    return std::visit([](const auto& it) { return it.limit(); }, m_concurrencyLimit);
 }
 
-bool Admission::hasStood(const QueuedCall& call, Instant now)
+bool Admission::exceedsSojournTarget(const QueuedCall& call, Instant now)
 {
-    const auto service = m_service.mean();
-    const SojournControl::Options options { m_options.sojournTarget * service,
-        m_options.sojournInterval * service };
-    const bool isLast = m_queue.sizeOf(call.group) == 0;
-    return m_sojourn[call.group].shouldRefuse(options, now - call.arrived, isLast, now);
+    const auto slotTime = m_slotTimeEstimate.mean();
+    const SojournControl::Options options { m_options.sojournTargetSlotTimes * slotTime,
+        m_options.sojournIntervalSlotTimes * slotTime };
+    const bool isLast = m_queue.sizeOfGroup(call.group) == 0;
+    return m_sojournControls[call.group].shouldRefuse(options, now - call.arrivalTime, isLast, now);
 }
 
 Duration Admission::expectedWait(
     std::uint32_t group, std::uint32_t rank, std::uint32_t priority, Instant now) const
 {
-    if (inUse() < limit() && m_queue.isEmpty())
-        return coldWait(Duration::zero(), now);
-    const double ahead = toSeconds(m_queue.timeAhead(group, rank, priority));
+    if (slotsInUse() < limit() && m_queue.isEmpty())
+        return warmUpWait(Duration::zero(), now);
+    const double slotSecondsAhead = toSeconds(m_queue.slotTimeAhead(group, rank, priority));
     const double slots = limit();
     // The next slot comes free after about one slot time over the number of slots.
-    const double firstFree = inUse() < limit() ? 0 : toSeconds(m_service.overall(now)) / slots;
-    return std::max(fromSeconds(firstFree + ahead / slots), coldWait(fromSeconds(ahead), now));
+    const double firstSlotWaitSeconds
+        = slotsInUse() < limit() ? 0 : toSeconds(m_slotTimeEstimate.meanIncludingRunning(now)) / slots;
+    return std::max(fromSeconds(firstSlotWaitSeconds + slotSecondsAhead / slots),
+        warmUpWait(fromSeconds(slotSecondsAhead), now));
 }
 
-Duration Admission::coldWait(Duration ahead, Instant now) const
+Duration Admission::warmUpWait(Duration slotTimeAhead, Instant now) const
 {
     if (!m_warmUp.isPaced(now))
         return Duration::zero();
-    const auto first = std::max(m_warmUp.nextStart(now) - now, Duration::zero());
-    const double calls = toSeconds(ahead) / std::max(toSeconds(m_service.mean()), toSeconds(Duration(1)));
-    return std::min(first + fromSeconds(calls / m_warmUp.perSecond()), m_warmUp.left(now));
+    const auto firstStartWait = std::max(m_warmUp.nextStart(now) - now, Duration::zero());
+    const double callsAhead
+        = toSeconds(slotTimeAhead) / std::max(toSeconds(m_slotTimeEstimate.mean()), toSeconds(Duration(1)));
+    return std::min(
+        firstStartWait + fromSeconds(callsAhead / m_warmUp.callsPerSecond()), m_warmUp.remainingTime(now));
 }
 
-std::optional<Instant> Admission::nextStart(Instant now) const
+std::optional<Instant> Admission::nextPacedStart(Instant now) const
 {
-    const bool isHeldBack = !m_queue.isEmpty() && inUse() < limit() && m_warmUp.isPaced(now);
-    return isHeldBack ? std::optional(m_warmUp.nextStart(now)) : std::nullopt;
+    const bool isPaced = !m_queue.isEmpty() && slotsInUse() < limit() && m_warmUp.isPaced(now);
+    return isPaced ? std::optional(m_warmUp.nextStart(now)) : std::nullopt;
 }
 
-Dispatch Admission::resume(Instant now)
+AdmissionResult Admission::startReadyCalls(Instant now)
 {
-    Dispatch out;
-    fill(out, now);
+    AdmissionResult out;
+    startWaitingCalls(out, now);
     return out;
 }
 
-Dispatch Admission::offer(const Offer& offer, Instant now)
+AdmissionResult Admission::offer(const OfferedCall& offer, Instant now)
 {
-    require(!m_waiting.contains(offer.id) && !m_running.contains(offer.id), "Admission::offer: id is new");
-    Dispatch out;
-    const auto cost = m_service.of(offer.callClass);
-    const QueuedCall call { offer.id, offer.group, offer.rank, offer.priority, now, offer.deadline, cost,
-        offer.inTimeUntil };
-    m_queue.chargeElsewhere(offer.group, offer.elsewhere);
+    require(!m_waitingCalls.contains(offer.id) && !m_runningCalls.contains(offer.id),
+        "Admission::offer: id is new");
+    AdmissionResult out;
+    const auto slotTime = m_slotTimeEstimate.expectedSlotTime(offer.callClass);
+    const QueuedCall call { offer.id, offer.group, offer.rank, offer.priority, now, offer.deadline, slotTime,
+        offer.softDeadline };
+    m_queue.chargeSlotTimeElsewhere(offer.group, offer.slotTimeElsewhere);
     const auto wait = expectedWait(offer.group, offer.rank, offer.priority, now);
-    if (const auto reason = reasonToRefuse(call, offer.callClass, wait, now); reason != Reason::None) {
-        refuse(call, reason, out, now);
+    if (const auto reason = refusalReasonOnArrival(call, offer.callClass, wait, now);
+        reason != Reason::None) {
+        addRefusal(call, reason, out, now);
         return out;
     }
     if (offer.parentUrgency && wait > Duration::zero())
-        m_roomForNested.waited(*offer.parentUrgency, now);
-    m_waiting.emplace(offer.id, Waiting { offer.group, offer.callClass, offer.urgency });
+        m_nestedReservation.onNestedCallQueued(*offer.parentUrgency, now);
+    m_waitingCalls.emplace(offer.id, WaitingCall { offer.group, offer.callClass, offer.urgency });
     const auto evicted = m_queue.push(call);
     if (evicted) {
-        m_waiting.erase(evicted->id);
-        refuse(*evicted, evicted->id == offer.id ? Reason::QueueFull : Reason::OverShare, out, now);
+        m_waitingCalls.erase(evicted->id);
+        addRefusal(*evicted, evicted->id == offer.id ? Reason::QueueFull : Reason::OverShare, out, now);
     }
-    fill(out, now);
+    startWaitingCalls(out, now);
     return out;
 }
 
-bool Admission::isTrial(std::uint32_t callClass) const
+bool Admission::mayRunAsTrial(std::uint32_t callClass) const
 {
-    const auto it = m_runningOf.find(callClass);
-    return it == m_runningOf.end() || !it->second;
+    const auto it = m_runningCountByClass.find(callClass);
+    return it == m_runningCountByClass.end() || !it->second;
 }
 
-Reason Admission::reasonToRefuse(
+Reason Admission::refusalReasonOnArrival(
     const QueuedCall& call, std::uint32_t callClass, Duration wait, Instant now) const
 {
     if (m_isLeaving)
         return Reason::Leaving;
     if (now >= call.deadline)
         return Reason::DeadlinePassed;
-    const auto end = now + wait + call.expectedCost;
-    if (end > call.deadline)
-        return wait > Duration::zero() || !isTrial(callClass) ? Reason::WouldMissDeadline : Reason::None;
-    if (call.inTimeUntil == Instant::max())
-        return wait > m_options.maxWait * m_service.mean() ? Reason::QueueFull : Reason::None;
+    const auto expectedEnd = now + wait + call.expectedSlotTime;
+    if (expectedEnd > call.deadline)
+        return wait > Duration::zero() || !mayRunAsTrial(callClass) ? Reason::WouldMissDeadline
+                                                                    : Reason::None;
+    if (call.softDeadline == Instant::max())
+        return wait > m_options.maxWaitSlotTimes * m_slotTimeEstimate.mean() ? Reason::QueueFull
+                                                                             : Reason::None;
     // With a slot free it is served, late or not; a place in the queue goes to those that can be in time.
-    return wait > Duration::zero() && end > call.inTimeUntil ? Reason::WouldBeLate : Reason::None;
+    return wait > Duration::zero() && expectedEnd > call.softDeadline ? Reason::WouldBeLate : Reason::None;
 }
 
-Reason Admission::reasonToDrop(const QueuedCall& call, Instant now)
+Reason Admission::refusalReasonAtStart(const QueuedCall& call, Instant now)
 {
-    const auto end = now + costNow(call);
-    const bool isTrialOfNew = call.arrived == now && isTrial(m_waiting.at(call.id).callClass);
+    const auto expectedEnd = now + currentExpectedSlotTime(call);
+    const bool isNewTrialRun = call.arrivalTime == now && mayRunAsTrial(m_waitingCalls.at(call.id).callClass);
     if (now >= call.deadline)
         return Reason::DeadlinePassed;
-    if (end > call.deadline && !isTrialOfNew)
+    if (expectedEnd > call.deadline && !isNewTrialRun)
         return Reason::WouldMissDeadline;
-    if (call.inTimeUntil == Instant::max())
-        return hasStood(call, now) ? Reason::StoodTooLong : Reason::None;
-    return end > call.inTimeUntil && !m_queue.isEmpty() ? Reason::WouldBeLate : Reason::None;
+    if (call.softDeadline == Instant::max())
+        return exceedsSojournTarget(call, now) ? Reason::StoodTooLong : Reason::None;
+    return expectedEnd > call.softDeadline && !m_queue.isEmpty() ? Reason::WouldBeLate : Reason::None;
 }
 
-Duration Admission::costNow(const QueuedCall& call) const
+Duration Admission::currentExpectedSlotTime(const QueuedCall& call) const
 {
-    return m_service.of(m_waiting.at(call.id).callClass);
+    return m_slotTimeEstimate.expectedSlotTime(m_waitingCalls.at(call.id).callClass);
 }
 
-Dispatch Admission::giveUpHopeless(Instant now)
+AdmissionResult Admission::refuseCallsMissingDeadline(Instant now)
 {
-    Dispatch out;
-    const auto isHopeless = [&](const QueuedCall& call) { return now + costNow(call) > call.deadline; };
-    for (const auto& it : m_queue.removeIf(isHopeless)) {
-        refuse(it, reasonToDrop(it, now), out, now);
-        m_waiting.erase(it.id);
+    AdmissionResult out;
+    const auto missesDeadline
+        = [&](const QueuedCall& call) { return now + currentExpectedSlotTime(call) > call.deadline; };
+    for (const auto& it : m_queue.removeIf(missesDeadline)) {
+        addRefusal(it, refusalReasonAtStart(it, now), out, now);
+        m_waitingCalls.erase(it.id);
     }
     return out;
 }
 
-Dispatch Admission::finished(std::uint64_t id, RunEnd end, Instant now)
+AdmissionResult Admission::onRunEnded(std::uint64_t id, RunOutcome outcome, Instant now)
 {
-    const auto it = m_running.find(id);
-    require(it != m_running.end(), "Admission::finished: the call was running");
-    const auto held = m_service.ended(id, it->second.callClass, now);
-    m_queue.settle(it->second.group, it->second.expected, held);
-    teachLimit(it->second, end, now);
-    --m_runningOf[it->second.callClass];
-    m_running.erase(it);
-    Dispatch out;
-    fill(out, now);
+    const auto it = m_runningCalls.find(id);
+    require(it != m_runningCalls.end(), "Admission::finished: the call was running");
+    const auto held = m_slotTimeEstimate.onRunEnded(id, it->second.callClass, now);
+    m_queue.settle(it->second.group, it->second.expectedSlotTime, held);
+    addLimitSample(it->second, outcome, now);
+    --m_runningCountByClass[it->second.callClass];
+    m_runningCalls.erase(it);
+    AdmissionResult out;
+    startWaitingCalls(out, now);
     return out;
 }
 
-void Admission::teachLimit(const Running& call, RunEnd end, Instant now)
+void Admission::addLimitSample(const RunningCall& call, RunOutcome outcome, Instant now)
 {
-    const bool isOutOfTime = end == RunEnd::Failed && now + deadlineSlack >= call.deadline;
-    if (end == RunEnd::Failed && !isOutOfTime)
+    const bool isOutOfTime = outcome == RunOutcome::Failed && now + deadlineTolerance >= call.deadline;
+    if (outcome == RunOutcome::Failed && !isOutOfTime)
         return;
-    const auto work = m_workClock.read(now) - call.workClock;
-    const auto held = now - call.started;
-    const bool isCalm = toSeconds(work) >= calmShare * toSeconds(held);
-    if (!isCalm && !takesSlowedRuns(m_limit))
+    const auto workTime = m_workClock.read(now) - call.workClockAtStart;
+    const auto runTime = now - call.startTime;
+    const bool wasServerCalm = toSeconds(workTime) >= minCalmWorkRatio * toSeconds(runTime);
+    if (!wasServerCalm && !learnsFromSlowedRuns(m_concurrencyLimit))
         return;
-    const auto result = isOutOfTime ? RunResult::OutOfTime : RunResult::Answered;
-    const RunSample sample { call.callClass, call.inUse, call.limit, work, call.timely, result };
-    std::visit([&](auto& it) { it.ended(sample); }, m_limit);
+    const auto sampleOutcome = isOutOfTime ? SampleOutcome::TimedOut : SampleOutcome::Answered;
+    const RunSample sample { call.callClass, call.concurrencyAtStart, call.limitAtStart, workTime,
+        call.timeToSoftDeadline, sampleOutcome };
+    std::visit([&](auto& it) { it.addSample(sample); }, m_concurrencyLimit);
 }
 
 bool Admission::cancelWaiting(std::uint64_t id)
 {
-    const auto it = m_waiting.find(id);
-    if (it == m_waiting.end())
+    const auto it = m_waitingCalls.find(id);
+    if (it == m_waitingCalls.end())
         return false;
     m_queue.cancel(it->second.group, id);
-    m_waiting.erase(it);
+    m_waitingCalls.erase(it);
     return true;
 }
 
-Dispatch Admission::setLeaving(bool isLeaving, Instant now)
+AdmissionResult Admission::setLeaving(bool isLeaving, Instant now)
 {
-    Dispatch out;
+    AdmissionResult out;
     m_isLeaving = isLeaving;
     if (!isLeaving)
         return out;
-    for (const auto& call : m_queue.clear())
-        refuse(call, Reason::Leaving, out, now);
-    m_waiting.clear();
+    for (const auto& call : m_queue.removeAll())
+        addRefusal(call, Reason::Leaving, out, now);
+    m_waitingCalls.clear();
     return out;
 }
 
-Dispatch Admission::releaseSlot(Instant now)
+AdmissionResult Admission::releaseSlot(Instant now)
 {
     require(m_heldSlots > 0, "Admission::releaseSlot: a slot is held");
     --m_heldSlots;
-    Dispatch out;
-    fill(out, now);
+    AdmissionResult out;
+    startWaitingCalls(out, now);
     return out;
 }
 
-bool Admission::hasOverdue(Instant now) const
+bool Admission::hasOverdueRun(Instant now) const
 {
-    return std::any_of(m_running.begin(), m_running.end(), [now](const auto& it) {
-        return toSeconds(now - it.second.started) > overdueFactor * toSeconds(it.second.expected);
+    return std::any_of(m_runningCalls.begin(), m_runningCalls.end(), [now](const auto& it) {
+        return toSeconds(now - it.second.startTime) > overdueFactor * toSeconds(it.second.expectedSlotTime);
     });
 }
 
 LoadReport Admission::load(Instant now) const
 {
-    LoadReport out { limit(), inUse(), static_cast<std::uint32_t>(m_queue.size()), m_service.overall(now),
-        m_service.slowdown() };
-    out.coldFor = m_warmUp.left(now);
+    LoadReport out { limit(), slotsInUse(), static_cast<std::uint32_t>(m_queue.size()),
+        m_slotTimeEstimate.meanIncludingRunning(now), m_slotTimeEstimate.slowdown() };
+    out.remainingWarmUp = m_warmUp.remainingTime(now);
     if (!m_warmUp.isPaced(now))
         return out;
-    out.coldPerSecond = m_warmUp.perSecond();
-    const auto waiting = fromSeconds(double(out.waiting) / out.coldPerSecond);
-    out.nextStart = std::max(m_warmUp.nextStart(now) - now, Duration::zero()) + waiting;
+    out.warmUpCallsPerSecond = m_warmUp.callsPerSecond();
+    const auto queueDrainTime = fromSeconds(double(out.waitingCalls) / out.warmUpCallsPerSecond);
+    out.timeToNextStart = std::max(m_warmUp.nextStart(now) - now, Duration::zero()) + queueDrainTime;
     return out;
 }
 
-LoadReport Admission::loadFor(std::uint32_t group, Instant now) const
+LoadReport Admission::loadForGroup(std::uint32_t group, Instant now) const
 {
     auto report = load(now);
-    const double ahead = static_cast<double>(m_queue.sizeOf(group)) / m_queue.shareOf(group);
-    report.waiting = std::min(report.waiting, static_cast<std::uint32_t>(ahead));
+    const double callsAhead = static_cast<double>(m_queue.sizeOfGroup(group)) / m_queue.shareOfGroup(group);
+    report.waitingCalls = std::min(report.waitingCalls, static_cast<std::uint32_t>(callsAhead));
     return report;
 }
 
-bool Admission::isSetAside(Instant now) const
+bool Admission::isReservedForNestedCalls(Instant now) const
 {
     const auto* next = m_queue.front();
-    const auto isBehind = [&](std::uint32_t urgency) { return m_roomForNested.isBehind(urgency, now); };
-    if (!next || !isBehind(m_waiting.at(next->id).urgency))
+    const auto yields
+        = [&](std::uint32_t urgency) { return m_nestedReservation.yieldsToNestedCalls(urgency, now); };
+    if (!next || !yields(m_waitingCalls.at(next->id).urgency))
         return false;
-    const auto n = std::count_if(
-        m_running.begin(), m_running.end(), [&](const auto& it) { return isBehind(it.second.urgency); });
-    return n >= RoomForNested::slotsFor(limit());
+    const auto yieldingRuns = std::count_if(m_runningCalls.begin(), m_runningCalls.end(),
+        [&](const auto& it) { return yields(it.second.urgency); });
+    return yieldingRuns >= NestedCallReservation::maxLessUrgentSlots(limit());
 }
 
-void Admission::fill(Dispatch& out, Instant now)
+void Admission::startWaitingCalls(AdmissionResult& out, Instant now)
 {
-    while (inUse() < limit() && m_warmUp.nextStart(now) <= now && !isSetAside(now)) {
+    while (slotsInUse() < limit() && m_warmUp.nextStart(now) <= now && !isReservedForNestedCalls(now)) {
         const auto call = m_queue.pop();
         if (!call)
             return;
-        const auto reason = reasonToDrop(*call, now);
+        const auto reason = refusalReasonAtStart(*call, now);
         if (reason == Reason::None) {
-            start(*call, out, now);
+            startCall(*call, out, now);
             continue;
         }
-        m_queue.settle(call->group, call->expectedCost, Duration::zero());
-        m_waiting.erase(call->id);
-        refuse(*call, reason, out, now);
+        m_queue.settle(call->group, call->expectedSlotTime, Duration::zero());
+        m_waitingCalls.erase(call->id);
+        addRefusal(*call, reason, out, now);
     }
 }
 
-void Admission::start(const QueuedCall& call, Dispatch& out, Instant now)
+void Admission::startCall(const QueuedCall& call, AdmissionResult& out, Instant now)
 {
-    const auto waiting = m_waiting.find(call.id);
-    const auto timely = call.inTimeUntil == Instant::max() ? Duration::max() : call.inTimeUntil - now;
-    const Running running { call.group, waiting->second.callClass, call.expectedCost, now,
-        m_workClock.read(now), timely, call.deadline, inUse() + 1, limit(), waiting->second.urgency };
-    ++m_runningOf[running.callClass];
-    m_running.emplace(call.id, running);
-    m_waiting.erase(waiting);
-    m_service.started(call.id, now);
-    m_warmUp.started(now);
-    out.run.push_back(call.id);
+    const auto waiting = m_waitingCalls.find(call.id);
+    const auto timeToSoftDeadline
+        = call.softDeadline == Instant::max() ? Duration::max() : call.softDeadline - now;
+    const RunningCall running { call.group, waiting->second.callClass, call.expectedSlotTime, now,
+        m_workClock.read(now), timeToSoftDeadline, call.deadline, slotsInUse() + 1, limit(),
+        waiting->second.urgency };
+    ++m_runningCountByClass[running.callClass];
+    m_runningCalls.emplace(call.id, running);
+    m_waitingCalls.erase(waiting);
+    m_slotTimeEstimate.onRunStarted(call.id, now);
+    m_warmUp.onCallStarted(now);
+    out.callsToRun.push_back(call.id);
 }
 
-void Admission::refuse(const QueuedCall& call, Reason reason, Dispatch& out, Instant now) const
+void Admission::addRefusal(const QueuedCall& call, Reason reason, AdmissionResult& out, Instant now) const
 {
     const auto wait = expectedWait(call.group, call.rank, call.priority, now);
-    out.refused.push_back({ call.id, reason, std::max(wait, minRetryAfter) });
+    out.refusals.push_back({ call.id, reason, std::max(wait, minRetryAfter) });
 }
 
 } // namespace robinrun
--- a/src/Queueing/Admission.h
+++ b/src/Queueing/Admission.h
@@ -2,9 +2,9 @@
 
 #include "Queueing/ConcurrencyLimit.h"
 #include "Queueing/FairQueue.h"
+#include "Queueing/NestedCallReservation.h"
 #include "Queueing/Refusal.h"
-#include "Queueing/RoomForNested.h"
-#include "Queueing/ServiceEstimate.h"
+#include "Queueing/SlotTimeEstimate.h"
 #include "Queueing/SojournControl.h"
 #include "Queueing/WarmUp.h"
 #include "Queueing/WorkClock.h"
@@ -17,43 +17,44 @@
 namespace robinrun {
 
 /// \brief A call offered to the owner of an upstream.
-struct Offer {
+struct OfferedCall {
     std::uint64_t id = 0;
     std::uint32_t group = 0;
     std::uint32_t callClass = 0;
     std::uint32_t rank = 0; ///< over all groups, 0 first
     std::uint32_t priority = 0; ///< inside the group and rank
     Instant deadline {};
-    Duration elsewhere {};
-    Instant inTimeUntil = Instant::max(); ///< an answer after this is late
+    Duration slotTimeElsewhere {};
+    Instant softDeadline = Instant::max(); ///< an answer after this is late
     /// For a call that a run elsewhere waits for: the place of that one. Lower numbers are more urgent.
     std::optional<std::uint32_t> parentUrgency;
     std::uint32_t urgency = 0; ///< place of the call itself, in the same numbers
 };
 
 /// \brief How a call that ran has ended, for what is learnt from it.
-enum class RunEnd {
+enum class RunOutcome {
     Answered,
     Failed, ///< or was cut off: how long it took says nothing, unless it was up to its deadline
 };
 
 /// \brief What to do after a step: calls to hand to the backend server, and calls given up as not run.
-struct Dispatch {
-    std::vector<std::uint64_t> run;
-    std::vector<Refusal> refused;
+struct AdmissionResult {
+    std::vector<std::uint64_t> callsToRun;
+    std::vector<Refusal> refusals;
 };
 
 /// \brief The state of an upstream at a moment, exact at its owner.
 struct LoadReport {
-    std::uint32_t slots = 0; ///< that the owner uses at most
-    std::uint32_t inUse = 0;
-    std::uint32_t waiting = 0;
-    Duration service {};
+    std::uint32_t slotLimit = 0; ///< that the owner uses at most
+    std::uint32_t slotsInUse = 0;
+    std::uint32_t waitingCalls = 0;
+    Duration meanSlotTime {};
     double slowdown = 1; ///< how much longer work takes at this moment, as the backend server says
-    bool isDown = false; ///< the backend server can't be reached
-    Duration coldFor {}; ///< how long the backend server stays cold; zero if it is warm
-    double coldPerSecond = 0; ///< calls that are started a second while it is; 0: as many as there are slots
-    Duration nextStart {}; ///< while it is paced: until a call that came now could start
+    bool isUnreachable = false; ///< the backend server can't be reached
+    Duration remainingWarmUp {}; ///< how long the backend server stays cold; zero if it is warm
+    double warmUpCallsPerSecond
+        = 0; ///< calls that are started a second while it is; 0: as many as there are slots
+    Duration timeToNextStart {}; ///< while it is paced: until a call that came now could start
 };
 
 /// \brief Decides at the owner which calls run on the backend server, which wait and which are refused.
@@ -66,21 +67,22 @@
 public:
     struct Options {
         std::uint32_t slots = 12; ///< of the backend server
-        LimitKind limit = LimitKind::Fixed; ///< how many of them are used at most
-        double share = 1; ///< of the slots, for LimitKind::Fixed and LimitKind::Stepwise
+        ConcurrencyLimitKind limitKind = ConcurrencyLimitKind::Fixed; ///< how many of them are used at most
+        double slotShare
+            = 1; ///< of the slots, for ConcurrencyLimitKind::Fixed and ConcurrencyLimitKind::Stepwise
         std::size_t queueLimit = 256;
-        Duration initialService = 10ms;
+        Duration initialSlotTime = 10ms;
         /// Bounds on waiting, in slot times as they are now: a few calls in turn are a burst, more stand.
-        int sojournTarget = 3;
-        int sojournInterval = 20;
-        int maxWait
+        int sojournTargetSlotTimes = 3;
+        int sojournIntervalSlotTimes = 20;
+        int maxWaitSlotTimes
             = 10; ///< a call that would wait longer is refused at once: that is worth more than a late answer
-        Duration maxElsewhere = 100ms;
+        Duration maxSlotTimeElsewhere = 100ms;
     };
 
     explicit Admission(Options options);
 
-    void setWeight(std::uint32_t group, double weight) { m_queue.setWeight(group, weight); }
+    void setGroupWeight(std::uint32_t group, double weight) { m_queue.setGroupWeight(group, weight); }
 
     /// \brief Changes the slots; fewer than in use means that none starts until enough have ended. What was
     /// learnt of the limit is kept as long as the slots stay the same.
@@ -88,10 +90,10 @@
 
     /// \brief Another life of the backend server has come: what was learnt of the former one's limit is
     /// forgotten. How long calls of a class take is kept: that is the service's, not the life's.
-    void restart();
+    void resetLimit();
 
     /// \brief Changes how the limit is found, or the share of the slots of one that is fixed.
-    void setLimit(LimitKind kind, double share);
+    void setLimitKind(ConcurrencyLimitKind kind, double share);
 
     /// \brief What is known of the backend server's warm-up, to be told of news. What it holds back shows in
     /// the next step; \sa nextStart().
@@ -100,10 +102,10 @@
 
     /// \returns when a waiting call may start that is held back only for the server's warm-up; nothing if
     /// there is none.
-    std::optional<Instant> nextStart(Instant now) const;
+    std::optional<Instant> nextPacedStart(Instant now) const;
 
     /// \brief Starts what may start by now. To be called at nextStart().
-    Dispatch resume(Instant now);
+    AdmissionResult startReadyCalls(Instant now);
 
     /// \brief Work takes \a factor times as long as usual from now on.
     void setSlowdown(double factor, Instant now);
@@ -115,10 +117,10 @@
     void setQueueLimit(std::size_t limit) { m_queue.setLimit(limit); }
 
     /// \brief Takes in a call. A leaving owner refuses it; so does one that can't finish it in time.
-    Dispatch offer(const Offer& offer, Instant now);
+    AdmissionResult offer(const OfferedCall& offer, Instant now);
 
     /// \brief A call that ran has ended (answered, failed or been cancelled at the backend server).
-    Dispatch finished(std::uint64_t id, RunEnd end, Instant now);
+    AdmissionResult onRunEnded(std::uint64_t id, RunOutcome outcome, Instant now);
 
     /// \brief Gives up a waiting call for its caller. \returns false when it isn't waiting (it may be
     /// running).
@@ -126,91 +128,95 @@
 
     /// \brief Gives up waiting calls that can no longer end before their deadlines: their callers may do
     /// better elsewhere, and need not wait for the end. To be called now and then. Cost: O(waiting calls).
-    Dispatch giveUpHopeless(Instant now);
+    AdmissionResult refuseCallsMissingDeadline(Instant now);
 
     /// \brief While leaving, nothing is taken in and all that waits is refused, to go elsewhere.
-    Dispatch setLeaving(bool isLeaving, Instant now);
+    AdmissionResult setLeaving(bool isLeaving, Instant now);
 
     bool isLeaving() const { return m_isLeaving; }
-    bool isIdle() const { return m_running.empty() && m_queue.isEmpty(); }
+    bool isIdle() const { return m_runningCalls.empty() && m_queue.isEmpty(); }
 
     /// \brief A slot taken by something else than a call (a probe): counts as in use.
     void holdSlot() { ++m_heldSlots; }
-    Dispatch releaseSlot(Instant now);
+    AdmissionResult releaseSlot(Instant now);
 
     /// \returns whether a call that came now would get a slot at once.
     bool hasFreeSlot(Instant now) const
     {
-        return !m_isLeaving && inUse() < limit() && m_queue.isEmpty() && m_warmUp.nextStart(now) <= now;
+        return !m_isLeaving && slotsInUse() < limit() && m_queue.isEmpty() && m_warmUp.nextStart(now) <= now;
     }
 
     /// \returns whether a call has run well beyond what was expected when it began: the server may have
     /// turned slow since it last told its load. Cost: O(running calls).
-    bool hasOverdue(Instant now) const;
+    bool hasOverdueRun(Instant now) const;
 
     /// \returns whether a call that came now would get the next slot that comes free.
-    bool goesNext(std::uint32_t group, std::uint32_t rank, std::uint32_t priority) const
+    bool wouldGetNextSlot(std::uint32_t group, std::uint32_t rank, std::uint32_t priority) const
     {
-        return !m_isLeaving && m_queue.timeAhead(group, rank, priority) == Duration::zero();
+        return !m_isLeaving && m_queue.slotTimeAhead(group, rank, priority) == Duration::zero();
     }
 
     LoadReport load(Instant now) const;
 
     /// \returns the load as a call of \a group meets it: `waiting` counts only what would go before it.
-    LoadReport loadFor(std::uint32_t group, Instant now) const;
-    std::uint32_t inUse() const { return static_cast<std::uint32_t>(m_running.size()) + m_heldSlots; }
+    LoadReport loadForGroup(std::uint32_t group, Instant now) const;
+    std::uint32_t slotsInUse() const
+    {
+        return static_cast<std::uint32_t>(m_runningCalls.size()) + m_heldSlots;
+    }
 
     /// \returns how long a call of the group is likely to wait if it came now.
     Duration expectedWait(std::uint32_t group, std::uint32_t rank, std::uint32_t priority, Instant now) const;
 
 private:
-    struct Running {
+    struct RunningCall {
         std::uint32_t group;
         std::uint32_t callClass;
-        Duration expected;
-        Instant started;
-        Duration workClock; ///< as it was read at the start
-        Duration timely; ///< at the start, until it is late
+        Duration expectedSlotTime;
+        Instant startTime;
+        Duration workClockAtStart; ///< as it was read at the start
+        Duration timeToSoftDeadline; ///< at the start, until it is late
         Instant deadline;
-        std::uint32_t inUse; ///< calls that ran at the start, with it
-        std::uint32_t limit; ///< at the start
+        std::uint32_t concurrencyAtStart; ///< calls that ran at the start, with it
+        std::uint32_t limitAtStart; ///< at the start
         std::uint32_t urgency;
     };
 
     /// \returns whether the first call that waits must leave the free slots to nested calls to come.
-    bool isSetAside(Instant now) const;
-    void fill(Dispatch& out, Instant now);
+    bool isReservedForNestedCalls(Instant now) const;
+    void startWaitingCalls(AdmissionResult& out, Instant now);
     /// \returns how long a call with \a ahead of slot time before it waits for the server's warm-up.
-    Duration coldWait(Duration ahead, Instant now) const;
-    void start(const QueuedCall& call, Dispatch& out, Instant now);
+    Duration warmUpWait(Duration slotTimeAhead, Instant now) const;
+    void startCall(const QueuedCall& call, AdmissionResult& out, Instant now);
     /// \brief Tells the limit what a call that ran to its end, or not, says of it.
-    void teachLimit(const Running& call, RunEnd end, Instant now);
-    void refuse(const QueuedCall& call, Reason reason, Dispatch& out, Instant now) const;
-    bool hasStood(const QueuedCall& call, Instant now);
-    Reason reasonToRefuse(const QueuedCall& call, std::uint32_t callClass, Duration wait, Instant now) const;
+    void addLimitSample(const RunningCall& call, RunOutcome outcome, Instant now);
+    void addRefusal(const QueuedCall& call, Reason reason, AdmissionResult& out, Instant now) const;
+    bool exceedsSojournTarget(const QueuedCall& call, Instant now);
+    Reason refusalReasonOnArrival(
+        const QueuedCall& call, std::uint32_t callClass, Duration wait, Instant now) const;
     /// \returns whether a call of the class that comes to a free slot runs though it seems to have no chance,
     /// as the only one of its class: if none did, nothing would show that the server is faster again.
-    bool isTrial(std::uint32_t callClass) const;
-    Reason reasonToDrop(const QueuedCall& call, Instant now);
+    bool mayRunAsTrial(std::uint32_t callClass) const;
+    Reason refusalReasonAtStart(const QueuedCall& call, Instant now);
     /// \returns the slot time that a waiting call is likely to hold, as the server is now.
-    Duration costNow(const QueuedCall& call) const;
+    Duration currentExpectedSlotTime(const QueuedCall& call) const;
 
     Options m_options;
-    ConcurrencyLimit m_limit;
+    ConcurrencyLimit m_concurrencyLimit;
     WorkClock m_workClock;
     WarmUp m_warmUp;
     FairQueue m_queue;
-    ServiceEstimate m_service;
-    std::unordered_map<std::uint32_t, SojournControl> m_sojourn;
-    std::unordered_map<std::uint64_t, Running> m_running;
-    std::unordered_map<std::uint32_t, std::uint32_t> m_runningOf; ///< by class
-    struct Waiting {
+    SlotTimeEstimate m_slotTimeEstimate;
+    std::unordered_map<std::uint32_t, SojournControl> m_sojournControls;
+    std::unordered_map<std::uint64_t, RunningCall> m_runningCalls;
+    std::unordered_map<std::uint32_t, std::uint32_t> m_runningCountByClass; ///< by class
+    struct WaitingCall {
         std::uint32_t group;
         std::uint32_t callClass;
         std::uint32_t urgency;
     };
-    std::unordered_map<std::uint64_t, Waiting> m_waiting;
-    RoomForNested m_roomForNested;
+    std::unordered_map<std::uint64_t, WaitingCall> m_waitingCalls;
+    NestedCallReservation m_nestedReservation;
     std::uint32_t m_heldSlots = 0;
     bool m_isLeaving = false;
 };
--- a/src/Queueing/ConcurrencyLimit.cpp
+++ b/src/Queueing/ConcurrencyLimit.cpp
@@ -6,13 +6,13 @@
 namespace robinrun {
 namespace {
 
-    constexpr double shortWeight = 0.1;
-    constexpr double longWeight = 0.005;
+    constexpr double shortTermSampleWeight = 0.1;
+    constexpr double longTermSampleWeight = 0.005;
     /// The work time may rise by this factor before the gradient counts it, and halves the limit at most.
     constexpr double gradientTolerance = 1.5;
-    constexpr double leastGradient = 0.5;
-    constexpr double gradientSmoothing = 0.05;
-    constexpr double decrease = 0.95;
+    constexpr double minGradient = 0.5;
+    constexpr double limitSmoothing = 0.05;
+    constexpr double lateDecreaseFactor = 0.95;
 
 } // namespace
 
@@ -24,21 +24,21 @@
 GradientLimit::GradientLimit(std::uint32_t slots)
     : m_slots(slots)
     , m_limit(std::max(slots / 2.0, 1.0))
-    , m_short(shortWeight)
-    , m_long(longWeight)
+    , m_shortTermWorkSeconds(shortTermSampleWeight)
+    , m_longTermWorkSeconds(longTermSampleWeight)
 {
 }
 
-void GradientLimit::ended(const RunSample& sample)
+void GradientLimit::addSample(const RunSample& sample)
 {
-    m_short.add(toSeconds(sample.work));
-    m_long.add(toSeconds(sample.work));
-    const double gradient
-        = std::clamp(gradientTolerance * m_long.value() / m_short.value(), leastGradient, 1.0);
-    if (sample.inUse < sample.limit && gradient == 1)
+    m_shortTermWorkSeconds.add(toSeconds(sample.workTime));
+    m_longTermWorkSeconds.add(toSeconds(sample.workTime));
+    const double gradient = std::clamp(
+        gradientTolerance * m_longTermWorkSeconds.value() / m_shortTermWorkSeconds.value(), minGradient, 1.0);
+    if (sample.concurrency < sample.limitAtStart && gradient == 1)
         return; // nothing asks for more
-    const double wanted = m_limit * gradient + std::sqrt(m_limit);
-    m_limit = std::clamp(m_limit + gradientSmoothing * (wanted - m_limit), 1.0, m_slots);
+    const double targetLimit = m_limit * gradient + std::sqrt(m_limit);
+    m_limit = std::clamp(m_limit + limitSmoothing * (targetLimit - m_limit), 1.0, m_slots);
 }
 
 AimdLimit::AimdLimit(std::uint32_t slots)
@@ -47,28 +47,28 @@
 {
 }
 
-void AimdLimit::ended(const RunSample& sample)
+void AimdLimit::addSample(const RunSample& sample)
 {
-    if (sample.result != RunResult::Answered || sample.work > sample.timely)
-        m_limit *= decrease;
-    else if (sample.inUse >= sample.limit)
+    if (sample.outcome != SampleOutcome::Answered || sample.workTime > sample.timeToSoftDeadline)
+        m_limit *= lateDecreaseFactor;
+    else if (sample.concurrency >= sample.limitAtStart)
         m_limit += 1 / m_limit;
     m_limit = std::clamp(m_limit, 1.0, m_slots);
 }
 
-ConcurrencyLimit makeLimit(LimitKind kind, std::uint32_t slots, double share)
+ConcurrencyLimit makeConcurrencyLimit(ConcurrencyLimitKind kind, std::uint32_t slots, double share)
 {
     slots = std::max(slots, 1U);
     switch (kind) {
-    case LimitKind::Fixed:
+    case ConcurrencyLimitKind::Fixed:
         return FixedLimit(slots, share);
-    case LimitKind::Gradient:
+    case ConcurrencyLimitKind::Gradient:
         return GradientLimit(slots);
-    case LimitKind::Aimd:
+    case ConcurrencyLimitKind::Aimd:
         return AimdLimit(slots);
-    case LimitKind::Stepwise:
+    case ConcurrencyLimitKind::Stepwise:
         return StepwiseLimit(slots, share);
-    case LimitKind::Learnt:
+    case ConcurrencyLimitKind::Learnt:
         break;
     }
     return LearntLimit(slots);
--- a/src/Queueing/ConcurrencyLimit.h
+++ b/src/Queueing/ConcurrencyLimit.h
@@ -15,7 +15,7 @@
 
 /// \brief The ways to bound the calls that run on a backend server at once. The middle ones are kept as
 /// baselines to measure against.
-enum class LimitKind {
+enum class ConcurrencyLimitKind {
     Fixed,
     Gradient,
     Aimd,
@@ -23,7 +23,7 @@
     Stepwise,
 };
 
-template <> struct EnumNames<LimitKind> {
+template <> struct EnumNames<ConcurrencyLimitKind> {
     static constexpr std::array<std::string_view, 5> names { "fixed", "gradient", "aimd", "learnt",
         "stepwise" };
 };
@@ -35,7 +35,7 @@
     FixedLimit(std::uint32_t slots, double share);
 
     std::uint32_t limit() const { return m_limit; }
-    void ended(const RunSample&) { }
+    void addSample(const RunSample&) { }
 
 private:
     std::uint32_t m_limit;
@@ -48,13 +48,13 @@
     explicit GradientLimit(std::uint32_t slots);
 
     std::uint32_t limit() const { return static_cast<std::uint32_t>(m_limit); }
-    void ended(const RunSample& sample);
+    void addSample(const RunSample& sample);
 
 private:
     double m_slots;
     double m_limit;
-    Ewma m_short;
-    Ewma m_long;
+    Ewma m_shortTermWorkSeconds;
+    Ewma m_longTermWorkSeconds;
 };
 
 /// \brief Additive increase while calls at the limit end in time, multiplicative decrease when one is late.
@@ -63,7 +63,7 @@
     explicit AimdLimit(std::uint32_t slots);
 
     std::uint32_t limit() const { return static_cast<std::uint32_t>(m_limit); }
-    void ended(const RunSample& sample);
+    void addSample(const RunSample& sample);
 
 private:
     double m_slots;
@@ -75,7 +75,7 @@
 
 /// \returns whether \a limit learns from runs during which the server told of a slow-down, too: long runs
 /// meet more of these, so that without them calls seem to take less long beside more of them than they do.
-inline bool takesSlowedRuns(const ConcurrencyLimit& limit)
+inline bool learnsFromSlowedRuns(const ConcurrencyLimit& limit)
 {
     return std::holds_alternative<StepwiseLimit>(limit);
 }
@@ -83,6 +83,6 @@
 /// \returns the limit of \a kind for a backend server.
 /// \param slots of the server; 0 if they are not known yet: then one call runs at a time.
 /// \param share of the slots, for FixedLimit and StepwiseLimit.
-ConcurrencyLimit makeLimit(LimitKind kind, std::uint32_t slots, double share);
+ConcurrencyLimit makeConcurrencyLimit(ConcurrencyLimitKind kind, std::uint32_t slots, double share);
 
 } // namespace robinrun
--- a/src/Queueing/FairQueue.h
+++ b/src/Queueing/FairQueue.h
@@ -20,10 +20,10 @@
     std::uint32_t group = 0;
     std::uint32_t rank = 0; ///< over all groups, 0 first
     std::uint32_t priority = 0; ///< class priority inside the group and rank, 0 first
-    Instant arrived {};
+    Instant arrivalTime {};
     Instant deadline {};
-    Duration expectedCost {}; ///< slot time it is likely to hold
-    Instant inTimeUntil = Instant::max(); ///< an answer after this is late; calls without have no such time
+    Duration expectedSlotTime {}; ///< slot time it is likely to hold
+    Instant softDeadline = Instant::max(); ///< an answer after this is late; calls without have no such time
 };
 
 /// \brief Weighted fair queue over calling groups, in slot time.
@@ -48,17 +48,17 @@
 
     /// \param limit of waiting calls over all groups; above 0.
     /// \param maxElsewhere bound of one call's charge for use elsewhere.
-    FairQueue(std::size_t limit, Duration maxElsewhere);
+    FairQueue(std::size_t limit, Duration maxSlotTimeElsewhere);
 
     /// \brief Sets the share of \a group; the default is 1. \a weight must be above 0.
-    void setWeight(std::uint32_t group, double weight);
+    void setGroupWeight(std::uint32_t group, double weight);
 
     /// \brief Changes the limit; \a limit must be above 0.
     void setLimit(std::size_t limit);
 
     /// \brief Charges a group for slot time that it got on other upstreams, whatever becomes of the call that
     /// told.
-    void chargeElsewhere(std::uint32_t group, Duration elsewhere);
+    void chargeSlotTimeElsewhere(std::uint32_t group, Duration slotTimeElsewhere);
 
     /// \brief Adds a call. When the queue is full, the newest call of the group that waits most for its share
     /// gives way. \returns the call that gave way: perhaps \a call itself.
@@ -77,22 +77,22 @@
     std::optional<QueuedCall> cancel(std::uint32_t group, std::uint64_t id);
 
     /// \brief Removes and returns all waiting calls.
-    std::vector<QueuedCall> clear();
+    std::vector<QueuedCall> removeAll();
 
     /// \brief Removes and returns the waiting calls for which \a isOut is true. Cost: O(waiting calls).
-    std::vector<QueuedCall> removeIf(const std::function<bool(const QueuedCall&)>& isOut);
+    std::vector<QueuedCall> removeIf(const std::function<bool(const QueuedCall&)>& shouldRemove);
 
     std::size_t size() const { return m_size; }
     bool isEmpty() const { return !m_size; }
-    std::size_t sizeOf(std::uint32_t group) const;
+    std::size_t sizeOfGroup(std::uint32_t group) const;
 
     /// \returns the slot time that waiting calls are expected to get before a new call of the group, if those
     /// that wait now go on waiting. Cost: O(ranks).
-    Duration timeAhead(std::uint32_t group, std::uint32_t rank, std::uint32_t priority) const;
+    Duration slotTimeAhead(std::uint32_t group, std::uint32_t rank, std::uint32_t priority) const;
 
     /// \returns the part of the slots, in (0, 1], that \a group gets while all that wait now go on waiting
     /// and no rank goes first.
-    double shareOf(std::uint32_t group) const;
+    double shareOfGroup(std::uint32_t group) const;
 
 private:
     /// Place of a call in the order of its group.
@@ -103,36 +103,36 @@
     };
     struct Lane {
         std::deque<QueuedCall> calls; ///< never empty
-        Duration cost {};
+        Duration expectedSlotTime {};
     };
     struct Flow {
         double weight = 1;
-        double tag = 0;
-        std::size_t waiting = 0;
+        double startTag = 0;
+        std::size_t waitingCalls = 0;
         std::map<Level, Lane> lanes;
 
         bool hasRank(std::uint32_t rank) const;
     };
-    using Key = std::pair<double, std::uint32_t>; ///< tag, group
+    using TaggedGroup = std::pair<double, std::uint32_t>; ///< tag, group
     /// What waits in one rank.
     struct Backlog {
-        std::set<Key> groups;
-        Duration cost {};
-        double weight = 0; ///< of its groups
+        std::set<TaggedGroup> groupsByTag;
+        Duration expectedSlotTime {};
+        double totalWeight = 0; ///< of its groups
     };
 
     static Level levelOf(const QueuedCall& call);
-    void charge(std::uint32_t group, Flow& flow, double slotSeconds);
-    void enlist(std::uint32_t group, const Flow& flow, std::uint32_t rank);
-    void delist(std::uint32_t group, const Flow& flow, std::uint32_t rank);
-    QueuedCall take(std::uint32_t group, Flow& flow, Level level, std::size_t index);
-    QueuedCall evict();
+    void chargeSlotTime(std::uint32_t group, Flow& flow, double slotSeconds);
+    void addToBacklog(std::uint32_t group, const Flow& flow, std::uint32_t rank);
+    void removeFromBacklog(std::uint32_t group, const Flow& flow, std::uint32_t rank);
+    QueuedCall removeCall(std::uint32_t group, Flow& flow, Level level, std::size_t index);
+    QueuedCall evictNewestCall();
 
     std::size_t m_limit;
-    Duration m_maxElsewhere;
+    Duration m_maxSlotTimeElsewhere;
     std::size_t m_size = 0;
     double m_virtualTime = 0;
-    double m_waitingWeight = 0; ///< of the groups that wait
+    double m_backloggedWeight = 0; ///< of the groups that wait
     std::unordered_map<std::uint32_t, Flow> m_flows;
     std::map<std::uint32_t, Backlog> m_backlogs; ///< by rank; never empty
 };
--- a/src/Queueing/LearntLimit.h
+++ b/src/Queueing/LearntLimit.h
@@ -36,45 +36,45 @@
     /// \param slots of the backend server, at least 1.
     explicit LearntLimit(std::uint32_t slots);
 
-    std::uint32_t limit() const { return limitOf(m_level); }
+    std::uint32_t limit() const { return limitAtLevel(m_currentLevel); }
 
     /// \brief A call has ended; not those that failed before their time.
-    void ended(const RunSample& sample);
+    void addSample(const RunSample& sample);
 
 private:
     struct Level {
-        double seen = 0; ///< calls that started there, older ones counting less
-        double longer = 0; ///< natural logarithm of the factor by which they take longer
-        double bound = 0; ///< lower bound of the fitted factor's logarithm
+        double decayedCalls = 0; ///< calls that started there, older ones counting less
+        double logWorkRatio = 0; ///< natural logarithm of the factor by which they take longer
+        double logWorkRatioBound = 0; ///< lower bound of the fitted factor's logarithm
     };
     struct ClassWork {
-        double seen = 0;
-        double work = 0; ///< logarithm of seconds
+        double calls = 0;
+        double meanLogWork = 0; ///< logarithm of seconds
     };
     /// Calls by the logarithm of the factor by which they could have taken longer and still be in time.
-    static constexpr std::size_t bins = 40;
+    static constexpr std::size_t slackBinCount = 40;
 
-    std::uint32_t limitOf(std::size_t level) const;
-    std::size_t levelOf(std::uint32_t inUse) const;
+    std::uint32_t limitAtLevel(std::size_t level) const;
+    std::size_t levelAtConcurrency(std::uint32_t concurrency) const;
     /// \returns the logarithm of the work less what is due to its class, the time and \a level.
-    double unexplained(const RunSample& sample, std::size_t level);
-    void noteSlack(const RunSample& sample, double longer);
-    double inTime(double longer) const;
-    double meanLonger() const;
-    void fitBounds();
+    double addToClassMean(const RunSample& sample, std::size_t level);
+    void addSlack(const RunSample& sample, double logWorkRatio);
+    double shareInTime(double logWorkRatio) const;
+    double meanLogWorkRatio() const;
+    void fitLowerBounds();
     /// \returns a level below that is to be tried because most calls are late at \a level; nothing if none
     /// is.
-    std::optional<std::size_t> lookBelow(std::size_t level) const;
-    void choose();
+    std::optional<std::size_t> unexploredLevelBelow(std::size_t level) const;
+    void chooseLevel();
 
     std::uint32_t m_slots;
     std::vector<Level> m_levels;
-    std::size_t m_level;
-    std::unordered_map<std::uint32_t, ClassWork> m_ofClass;
-    double m_atPresent = 0; ///< logarithm of how much longer calls take just now
-    double m_variance; ///< of what is unexplained
-    std::array<double, bins> m_slack {};
-    std::uint32_t m_sinceChoice = 0;
+    std::size_t m_currentLevel;
+    std::unordered_map<std::uint32_t, ClassWork> m_workByClass;
+    double m_currentLogSlowdown = 0; ///< logarithm of how much longer calls take just now
+    double m_residualVariance; ///< of what is unexplained
+    std::array<double, slackBinCount> m_slackHistogram {};
+    std::uint32_t m_callsSinceChoice = 0;
 };
 
 } // namespace robinrun
--- a/src/Queueing/ServiceEstimate.h
+++ b/src/Queueing/SlotTimeEstimate.h
@@ -2,7 +2,7 @@
 
 #include "Core/Ewma.h"
 #include "Core/Time.h"
-#include "Queueing/WorkEstimate.h"
+#include "Queueing/ClassSlotTimeEstimate.h"
 
 #include <array>
 #include <cstdint>
@@ -16,42 +16,42 @@
 /// The mean of ended calls lags a sudden slow-down by a whole slow call. Running calls tell sooner: when the
 /// oldest of them have run far longer than the mean, the estimate follows their elapsed time.
 /// Cost: start and end O(log running); reading O(1).
-class ServiceEstimate {
+class SlotTimeEstimate {
 public:
     /// \param initial estimate before any call has ended.
-    explicit ServiceEstimate(Duration initial);
+    explicit SlotTimeEstimate(Duration initial);
 
-    void started(std::uint64_t id, Instant now);
+    void onRunStarted(std::uint64_t id, Instant now);
 
     /// \returns how long the call held its slot.
-    Duration ended(std::uint64_t id, std::uint32_t callClass, Instant now);
+    Duration onRunEnded(std::uint64_t id, std::uint32_t callClass, Instant now);
 
     /// \brief The backend server says that work takes \a factor times as long as usual from now on.
     void setSlowdown(double factor) { m_slowdown = factor; }
     double slowdown() const { return m_slowdown; }
 
     /// \returns expected slot time of a new call of \a callClass.
-    Duration of(std::uint32_t callClass) const;
+    Duration expectedSlotTime(std::uint32_t callClass) const;
 
     /// \returns the mean slot time of ended calls, over all classes.
-    Duration mean() const { return fromSeconds(m_overall.value()); }
+    Duration mean() const { return fromSeconds(m_meanSeconds.value()); }
 
     /// \returns the mean slot time over all classes, raised by calls that run long. \param now the present.
-    Duration overall(Instant now) const;
+    Duration meanIncludingRunning(Instant now) const;
 
-    std::size_t running() const { return m_started.size(); }
+    std::size_t runningCount() const { return m_runningCalls.size(); }
 
 private:
-    Ewma m_overall;
-    std::unordered_map<std::uint32_t, WorkEstimate> m_byClass;
-    struct Started {
-        Instant at;
+    Ewma m_meanSeconds;
+    std::unordered_map<std::uint32_t, ClassSlotTimeEstimate> m_estimateByClass;
+    struct RunningCall {
+        Instant startTime;
         double slowdown;
     };
     double m_slowdown = 1;
-    std::unordered_map<std::uint64_t, Started> m_started;
-    double m_startedSumSeconds = 0;
-    Instant m_origin {};
+    std::unordered_map<std::uint64_t, RunningCall> m_runningCalls;
+    double m_startTimeSumSeconds = 0;
+    Instant m_timeOrigin {};
 };
 
 } // namespace robinrun
--- a/src/Queueing/SojournControl.cpp
+++ b/src/Queueing/SojournControl.cpp
@@ -4,43 +4,44 @@
 
 namespace robinrun {
 
-bool SojournControl::stands(const Options& options, Duration sojourn, bool isLast, Instant now)
+bool SojournControl::isAboveTargetForInterval(
+    const Options& options, Duration sojourn, bool isLast, Instant now)
 {
     if (sojourn < options.target || isLast) {
-        m_isAbove = false;
+        m_isAboveTarget = false;
         return false;
     }
-    if (!m_isAbove) {
-        m_isAbove = true;
-        m_firstAbove = now + options.interval;
+    if (!m_isAboveTarget) {
+        m_isAboveTarget = true;
+        m_intervalEnd = now + options.interval;
         return false;
     }
-    return now >= m_firstAbove;
+    return now >= m_intervalEnd;
 }
 
-Instant SojournControl::after(const Options& options, Instant start) const
+Instant SojournControl::nextRefusalAfter(const Options& options, Instant start) const
 {
-    return start + fromSeconds(toSeconds(options.interval) / std::sqrt(static_cast<double>(m_count)));
+    return start + fromSeconds(toSeconds(options.interval) / std::sqrt(static_cast<double>(m_refusalCount)));
 }
 
 bool SojournControl::shouldRefuse(const Options& options, Duration sojourn, bool isLast, Instant now)
 {
-    if (!stands(options, sojourn, isLast, now)) {
+    if (!isAboveTargetForInterval(options, sojourn, isLast, now)) {
         m_isRefusing = false;
         return false;
     }
     if (!m_isRefusing) {
         m_isRefusing = true;
         // A queue that stood a moment ago is taken up near the rate that moved it then.
-        const bool isRecent = m_count > 2 && now - m_nextRefusal < 8 * options.interval;
-        m_count = isRecent ? m_count - 2 : 1;
-        m_nextRefusal = after(options, now);
+        const bool hasRefusedRecently = m_refusalCount > 2 && now - m_nextRefusal < 8 * options.interval;
+        m_refusalCount = hasRefusedRecently ? m_refusalCount - 2 : 1;
+        m_nextRefusal = nextRefusalAfter(options, now);
         return true;
     }
     if (now < m_nextRefusal)
         return false;
-    ++m_count;
-    m_nextRefusal = after(options, m_nextRefusal);
+    ++m_refusalCount;
+    m_nextRefusal = nextRefusalAfter(options, m_nextRefusal);
     return true;
 }
 
--- a/src/Queueing/SojournControl.h
+++ b/src/Queueing/SojournControl.h
@@ -24,14 +24,14 @@
     bool shouldRefuse(const Options& options, Duration sojourn, bool isLast, Instant now);
 
 private:
-    bool stands(const Options& options, Duration sojourn, bool isLast, Instant now);
-    Instant after(const Options& options, Instant start) const;
+    bool isAboveTargetForInterval(const Options& options, Duration sojourn, bool isLast, Instant now);
+    Instant nextRefusalAfter(const Options& options, Instant start) const;
 
-    Instant m_firstAbove {};
-    bool m_isAbove = false;
+    Instant m_intervalEnd {};
+    bool m_isAboveTarget = false;
     bool m_isRefusing = false;
     Instant m_nextRefusal {};
-    unsigned m_count = 0;
+    unsigned m_refusalCount = 0;
 };
 
 } // namespace robinrun
--- a/src/Queueing/StepwiseLimit.h
+++ b/src/Queueing/StepwiseLimit.h
@@ -23,34 +23,34 @@
     /// \param slots of the backend server, at least 1. \param share of them to start with, in (0, 1].
     StepwiseLimit(std::uint32_t slots, double share);
 
-    std::uint32_t limit() const { return m_settled + (m_isTrying ? 1 : 0); }
+    std::uint32_t limit() const { return m_settledLimit + (m_isTrialStep ? 1 : 0); }
 
     /// \brief A call has ended; not those that failed before their time.
-    void ended(const RunSample& sample);
+    void addSample(const RunSample& sample);
 
 private:
     /// Calls of a class that started at the settled limit or below.
     struct ClassWork {
-        double seen = 0;
-        double work = 0; ///< logarithm of seconds
+        double calls = 0;
+        double meanLogWork = 0; ///< logarithm of seconds
     };
 
-    void learnUsual(ClassWork& usual, double work);
-    void tryStep();
+    void addToClassMean(ClassWork& classWork, double logWork);
+    void startTrialStep();
     /// \brief A call that started at the step took \a longer, as a logarithm, than is usual.
-    void judge(double longer);
-    void endStep(bool isKept);
+    void addEvidence(double logWorkRatio);
+    void endTrialStep(bool isAccepted);
 
     std::uint32_t m_slots;
-    std::uint32_t m_settled;
-    std::unordered_map<std::uint32_t, ClassWork> m_ofClass;
-    double m_variance; ///< of the logarithm of the work of a class
-    bool m_isTrying = false;
-    std::uint32_t m_unjudged = 0; ///< calls at the step that are still to be passed over
-    double m_evidence = 0; ///< that calls take longer at the step; below 0: that they don't
-    std::uint32_t m_full = 0; ///< calls that started at the settled limit since the last step
-    std::uint32_t m_restFor; ///< such calls before the next step
-    std::uint32_t m_restLength = 0; ///< after the last step that was taken back
+    std::uint32_t m_settledLimit;
+    std::unordered_map<std::uint32_t, ClassWork> m_workByClass;
+    double m_logWorkVariance; ///< of the logarithm of the work of a class
+    bool m_isTrialStep = false;
+    std::uint32_t m_callsToSkip = 0; ///< calls at the step that are still to be passed over
+    double m_logOddsSlower = 0; ///< that calls take longer at the step; below 0: that they don't
+    std::uint32_t m_callsAtLimit = 0; ///< calls that started at the settled limit since the last step
+    std::uint32_t m_callsBeforeNextStep; ///< such calls before the next step
+    std::uint32_t m_backoffCalls = 0; ///< after the last step that was taken back
 };
 
 } // namespace robinrun
--- a/src/Queueing/WarmUp.cpp
+++ b/src/Queueing/WarmUp.cpp
@@ -5,53 +5,53 @@
 
 namespace robinrun {
 
-void WarmUp::setKind(ColdPaceKind kind)
+void WarmUp::setPacerKind(WarmUpPacerKind kind)
 {
-    if (std::exchange(m_kind, kind) != kind)
-        m_pace = makeColdPace(kind);
+    if (std::exchange(m_pacerKind, kind) != kind)
+        m_pacer = makeWarmUpPacer(kind);
 }
 
-void WarmUp::announced(Duration left, Instant now)
+void WarmUp::onAnnouncement(Duration remaining, Instant now)
 {
-    if (left > Duration::zero())
-        m_coldUntil = std::max(m_doubtSince ? m_coldUntil : now, now + left);
-    else if (!m_doubtSince)
+    if (remaining > Duration::zero())
+        m_coldUntil = std::max(m_uncertainSince ? m_coldUntil : now, now + remaining);
+    else if (!m_uncertainSince)
         m_coldUntil = now;
 }
 
-void WarmUp::answered(Duration left, Instant asked, Instant now)
+void WarmUp::onHealthAnswer(Duration remaining, Instant askedAt, Instant now)
 {
-    if (m_doubtSince && asked < *m_doubtSince)
+    if (m_uncertainSince && askedAt < *m_uncertainSince)
         return;
-    m_doubtSince.reset();
-    m_coldUntil = now + left;
+    m_uncertainSince.reset();
+    m_coldUntil = now + remaining;
 }
 
-void WarmUp::doubt(Instant now)
+void WarmUp::markUncertain(Instant now)
 {
-    if (m_terms.length <= Duration::zero())
+    if (m_settings.duration <= Duration::zero())
         return;
-    m_doubtSince = now;
-    m_coldUntil = std::max(m_coldUntil, now + m_terms.length);
-    if (m_terms.bound.isKnown())
-        std::visit([&](auto& it) { it.useUp(m_terms.bound, now); }, m_pace);
+    m_uncertainSince = now;
+    m_coldUntil = std::max(m_coldUntil, now + m_settings.duration);
+    if (m_settings.rateLimit.isKnown())
+        std::visit([&](auto& it) { it.exhaust(m_settings.rateLimit, now); }, m_pacer);
 }
 
 Instant WarmUp::nextStart(Instant now) const
 {
     if (!isPaced(now))
         return now;
-    const auto next
-        = std::visit([&](const auto& it) { return it.nextStart(m_terms.bound, m_starts); }, m_pace);
-    return std::min(next, m_coldUntil);
+    const auto pacedStart
+        = std::visit([&](const auto& it) { return it.nextStart(m_settings.rateLimit, m_starts); }, m_pacer);
+    return std::min(pacedStart, m_coldUntil);
 }
 
-void WarmUp::started(Instant now)
+void WarmUp::onCallStarted(Instant now)
 {
-    if (!m_terms.bound.isKnown())
+    if (!m_settings.rateLimit.isKnown())
         return;
-    m_starts.add(now, m_terms.bound.perWindow());
-    std::visit([&](auto& it) { it.started(m_terms.bound, now); }, m_pace);
+    m_starts.addStart(now, m_settings.rateLimit.maxCallsPerWindow());
+    std::visit([&](auto& it) { it.onCallStarted(m_settings.rateLimit, now); }, m_pacer);
 }
 
 } // namespace robinrun
--- a/src/Queueing/WarmUp.h
+++ b/src/Queueing/WarmUp.h
@@ -1,16 +1,16 @@
 #pragma once
 
 #include "Core/Time.h"
-#include "Queueing/ColdPace.h"
+#include "Queueing/WarmUpPacer.h"
 
 #include <optional>
 
 namespace robinrun {
 
 /// \brief What a service says of its cold backend servers, and what the deployment allows on top.
-struct WarmUpTerms {
-    Duration length {}; ///< from a start until the server is warm; 0: the service doesn't say
-    ColdBound bound; ///< on calls to one cold server
+struct WarmUpSettings {
+    Duration duration {}; ///< from a start until the server is warm; 0: the service doesn't say
+    WarmUpRateLimit rateLimit; ///< on calls to one cold server
 };
 
 /// \brief Whether the backend server beside this node is cold, and which calls it may get while it is.
@@ -25,51 +25,51 @@
 /// No I/O; the present time is an argument. Cost: O(1).
 class WarmUp {
 public:
-    explicit WarmUp(ColdPaceKind kind = ColdPaceKind::Smooth)
-        : m_kind(kind)
-        , m_pace(makeColdPace(kind))
+    explicit WarmUp(WarmUpPacerKind kind = WarmUpPacerKind::Smooth)
+        : m_pacerKind(kind)
+        , m_pacer(makeWarmUpPacer(kind))
     {
     }
 
     /// \brief Changes how calls are paced; starts that were noted stay noted.
-    void setKind(ColdPaceKind kind);
+    void setPacerKind(WarmUpPacerKind kind);
 
     /// \brief The service says otherwise than before. What is known of the server stays.
-    void setTerms(const WarmUpTerms& terms) { m_terms = terms; }
+    void setSettings(const WarmUpSettings& settings) { m_settings = settings; }
 
     /// \brief An announcement says that the server is cold for \a left. That it is warm ends no doubt: it may
     /// have been sent before the doubt arose.
-    void announced(Duration left, Instant now);
+    void onAnnouncement(Duration remaining, Instant now);
 
     /// \brief The answer to a question asked at \a asked says that the server is cold for \a left.
-    void answered(Duration left, Instant asked, Instant now);
+    void onHealthAnswer(Duration remaining, Instant askedAt, Instant now);
 
     /// \brief The server may have turned cold unseen, and a former process beside it may have sent it calls.
-    void doubt(Instant now);
+    void markUncertain(Instant now);
 
     /// \returns whether an answer is wanted: until one comes, the server counts as cold.
-    bool isInDoubt(Instant now) const { return m_doubtSince && isCold(now); }
+    bool isUncertain(Instant now) const { return m_uncertainSince && isCold(now); }
 
     bool isCold(Instant now) const { return now < m_coldUntil; }
     /// \returns how long the server stays cold; zero if it is warm.
-    Duration left(Instant now) const { return std::max(m_coldUntil - now, Duration::zero()); }
+    Duration remainingTime(Instant now) const { return std::max(m_coldUntil - now, Duration::zero()); }
     /// \returns whether calls are paced now.
-    bool isPaced(Instant now) const { return isCold(now) && m_terms.bound.isKnown(); }
+    bool isPaced(Instant now) const { return isCold(now) && m_settings.rateLimit.isKnown(); }
     /// \returns calls a second while the server is paced; 0 if no bound is known.
-    double perSecond() const { return m_terms.bound.perSecond; }
+    double callsPerSecond() const { return m_settings.rateLimit.callsPerSecond; }
 
     /// \returns when the next call may start: no later than \a now if one may at once.
     Instant nextStart(Instant now) const;
     /// \brief A call was handed to the server.
-    void started(Instant now);
+    void onCallStarted(Instant now);
 
 private:
-    ColdPaceKind m_kind;
-    WarmUpTerms m_terms;
+    WarmUpPacerKind m_pacerKind;
+    WarmUpSettings m_settings;
     Instant m_coldUntil {};
-    std::optional<Instant> m_doubtSince;
+    std::optional<Instant> m_uncertainSince;
     StartLog m_starts;
-    ColdPace m_pace;
+    WarmUpPacer m_pacer;
 };
 
 } // namespace robinrun
--- a/src/Queueing/WorkClock.h
+++ b/src/Queueing/WorkClock.h
@@ -16,10 +16,10 @@
 public:
     /// \brief From \a now on work takes \a slowdown times as long.
     /// \returns the length of the slow phase that has ended with this; nothing if none has.
-    std::optional<Duration> told(double slowdown, Instant now)
+    std::optional<Duration> setSlowdown(double slowdown, Instant now)
     {
-        m_done = read(now);
-        m_at = now;
+        m_workDone = read(now);
+        m_updatedAt = now;
         const bool wasSlow = isSlow();
         m_slowdown = slowdown < 1 ? 1 : slowdown;
         if (isSlow() && !wasSlow)
@@ -32,7 +32,8 @@
     /// \returns the work done since the clock began.
     Duration read(Instant now) const
     {
-        return m_done + (now > m_at ? fromSeconds(toSeconds(now - m_at) / m_slowdown) : Duration::zero());
+        return m_workDone
+            + (now > m_updatedAt ? fromSeconds(toSeconds(now - m_updatedAt) / m_slowdown) : Duration::zero());
     }
 
     double slowdown() const { return m_slowdown; }
@@ -40,8 +41,8 @@
 
 private:
     double m_slowdown = 1;
-    Duration m_done {};
-    Instant m_at {};
+    Duration m_workDone {};
+    Instant m_updatedAt {};
     Instant m_slowSince {};
 };
 
--- a/src/Routing/Choice.cpp
+++ b/src/Routing/Choice.cpp
@@ -20,12 +20,12 @@
     {
         if (!view.report())
             return view.inFlight();
-        return view.report()->load.inUse + view.report()->load.waiting;
+        return view.report()->load.slotsInUse + view.report()->load.waitingCalls;
     }
 
     double reportedService(const UpstreamView& view)
     {
-        return view.report() ? toSeconds(view.report()->load.service) : 0;
+        return view.report() ? toSeconds(view.report()->load.meanSlotTime) : 0;
     }
 
     /// \returns the candidate with the least score; ties go to one of them at random.
@@ -168,17 +168,17 @@
     const double usable = std::max(1U, view.slots());
     double others = 0;
     double slowdown = 1;
-    Duration service = in.work.of(1).value_or(Duration::zero());
+    Duration service = in.work.expectedSlotTime(1).value_or(Duration::zero());
     if (const auto& report = view.report()) {
         const auto age = in.now - report->heard;
-        const double busy = double(report->load.inUse) + report->queued - report->yours;
+        const double busy = double(report->load.slotsInUse) + report->queued - report->yours;
         others = std::max(0.0, busy) * freshness(age, options.loadMemory);
         slowdown += (report->load.slowdown - 1) * freshness(age, options.slowdownMemory);
-        service = report->load.service;
+        service = report->load.meanSlotTime;
     }
     const double load = view.inFlight() + others;
     const double wait = toSeconds(service) * std::max(0.0, load + 1 - usable) / usable;
-    const double work = toSeconds(in.work.of(1).value_or(Duration::zero())) * slowdown;
+    const double work = toSeconds(in.work.expectedSlotTime(1).value_or(Duration::zero())) * slowdown;
     return view.roundTrip() + std::max(fromSeconds(wait), view.coldWait(in.now)) + fromSeconds(work);
 }
 
--- a/src/Routing/Choice.h
+++ b/src/Routing/Choice.h
@@ -3,7 +3,7 @@
 #include "Core/EnumNames.h"
 #include "Core/Random.h"
 #include "Core/Time.h"
-#include "Queueing/WorkEstimate.h"
+#include "Queueing/ClassSlotTimeEstimate.h"
 #include "Routing/LateChance.h"
 #include "Routing/UpstreamView.h"
 
@@ -38,7 +38,7 @@
     Instant now {};
     std::uint32_t group = 0;
     Duration targetLatency {}; ///< what is left of it; 0: none
-    WorkEstimate work {}; ///< slot times of such calls
+    ClassSlotTimeEstimate work {}; ///< slot times of such calls
     const LateChance* lateChance = nullptr; ///< of such calls; needed where there is a target latency
     double relativeBytes = 1; ///< of such a call and its answer, over those of a mean call
 };
--- a/src/Routing/ServiceRouter.cpp
+++ b/src/Routing/ServiceRouter.cpp
@@ -94,7 +94,7 @@
 
 void ServiceRouter::measuredWork(std::string_view callClass, Duration held, double slowdown)
 {
-    viewOfClass(callClass).work.add(held, slowdown);
+    viewOfClass(callClass).work.addSample(held, slowdown);
 }
 
 void ServiceRouter::took(std::string_view callClass, Duration actual, Duration expected)
@@ -114,16 +114,16 @@
 {
     const auto it = m_classes.find(callClass);
     const auto guess = fromSeconds(toSeconds(targetLatency) * unknownWorkShare);
-    return it == m_classes.end() ? guess : it->second.work.of(1).value_or(guess);
+    return it == m_classes.end() ? guess : it->second.work.expectedSlotTime(1).value_or(guess);
 }
 
 ChoiceInput ServiceRouter::inputFor(const RouteNeeds& needs, Instant now) const
 {
     const auto it = m_classes.find(needs.callClass);
     const bool isKnown = it != m_classes.end();
-    WorkEstimate work;
+    ClassSlotTimeEstimate work;
     if (!isKnown)
-        work.add(usualWork(needs.callClass, needs.targetLatency), 1);
+        work.addSample(usualWork(needs.callClass, needs.targetLatency), 1);
     return { m_views, m_candidates, now, needs.group, needs.targetLatency, isKnown ? it->second.work : work,
         isKnown ? &it->second.lateChance : &m_unknownChance, needs.relativeBytes };
 }
@@ -159,7 +159,7 @@
         return;
     if (const auto slowPhase = view->heard(report))
         m_remaining.slowPhaseEnded(*slowPhase);
-    if (report.load.isDown)
+    if (report.load.isUnreachable)
         pauseLost(*view, now);
     else if (view->state() == UpstreamState::Lost)
         revive(upstream, now);
--- a/src/Routing/ServiceRouter.h
+++ b/src/Routing/ServiceRouter.h
@@ -182,7 +182,7 @@
     ChoiceInput inputFor(const RouteNeeds& needs, Instant now) const;
     /// \brief What is known of the calls of one class.
     struct ClassView {
-        WorkEstimate work;
+        ClassSlotTimeEstimate work;
         LateChance lateChance;
     };
     ClassView& viewOfClass(std::string_view callClass);
--- a/src/Routing/UpstreamView.cpp
+++ b/src/Routing/UpstreamView.cpp
@@ -40,7 +40,7 @@
 {
     abandoned(group);
     auto& news = m_groups[group];
-    news.waiting = report.load.waiting;
+    news.waiting = report.load.waitingCalls;
     news.yours = report.yours;
     const auto slowPhase = heard(report);
     m_late = 0;
@@ -74,7 +74,7 @@
 {
     if (!m_report)
         return 0;
-    double total = m_report->load.inUse;
+    double total = m_report->load.slotsInUse;
     const auto it = m_groups.find(group);
     if (it != m_groups.end())
         total += double(it->second.waiting) - it->second.yours;
@@ -91,14 +91,15 @@
 
 Duration UpstreamView::coldWait(Instant now) const
 {
-    if (!m_report || m_report->load.coldPerSecond <= 0)
+    if (!m_report || m_report->load.warmUpCallsPerSecond <= 0)
         return Duration::zero();
     const auto age = now - m_report->heard;
-    const auto coldLeft = m_report->load.coldFor - age;
+    const auto coldLeft = m_report->load.remainingWarmUp - age;
     if (coldLeft <= Duration::zero())
         return Duration::zero();
     const double unheard = std::max(double(m_inFlight) - m_report->yours, 0.0);
-    const auto wait = m_report->load.nextStart - age + fromSeconds(unheard / m_report->load.coldPerSecond);
+    const auto wait
+        = m_report->load.timeToNextStart - age + fromSeconds(unheard / m_report->load.warmUpCallsPerSecond);
     return std::clamp(wait, Duration::zero(), coldLeft);
 }
 
--- a/src/Routing/UpstreamView.h
+++ b/src/Routing/UpstreamView.h
@@ -58,7 +58,7 @@
     std::optional<Duration> heard(const Report& report)
     {
         m_report = report;
-        return m_workClock.told(report.load.slowdown, report.heard);
+        return m_workClock.setSlowdown(report.load.slowdown, report.heard);
     }
 
     /// \returns how long a call that is sent now waits there because the server is cold and gets its calls at
--- a/src/Settings/NodeSettings.cpp
+++ b/src/Settings/NodeSettings.cpp
@@ -97,9 +97,9 @@
 
     void readAdmission(YamlReader reader, NodeSettings& out)
     {
-        out.admission.limit = reader.choice("limit", LimitKind::Learnt);
+        out.admission.limit = reader.choice("limit", ConcurrencyLimitKind::Learnt);
         out.admission.usableShare = reader.number("usable_share", 0.1, 1, 1);
-        out.admission.coldPace = reader.choice("cold_pace", ColdPaceKind::Smooth);
+        out.admission.coldPace = reader.choice("cold_pace", WarmUpPacerKind::Smooth);
         out.admission.coldFactor = reader.number("cold_factor", 0.1, 10, 1);
         out.admission.coldBurst = reader.number("cold_burst", 0, 1e6, 0);
         reader.finish();
--- a/src/Settings/NodeSettings.h
+++ b/src/Settings/NodeSettings.h
@@ -110,9 +110,10 @@
     } choice;
 
     struct {
-        LimitKind limit {}; ///< how the node finds out how many calls its backend server should run at once
+        ConcurrencyLimitKind
+            limit {}; ///< how the node finds out how many calls its backend server should run at once
         double usableShare = 1; ///< of the slots, where the limit is fixed or starts there
-        ColdPaceKind coldPace {}; ///< how calls to a cold backend server are spread over time
+        WarmUpPacerKind coldPace {}; ///< how calls to a cold backend server are spread over time
         double coldFactor = 1; ///< of the calls a second that its service says it bears
         double coldBurst = 0; ///< calls on top of that, in any second
     } admission;
--- a/test/AdmissionTest.cpp
+++ b/test/AdmissionTest.cpp
@@ -17,9 +17,9 @@
     return out;
 }
 
-Offer offer(std::uint64_t id, std::uint32_t group, Instant deadline)
+OfferedCall offer(std::uint64_t id, std::uint32_t group, Instant deadline)
 {
-    Offer out;
+    OfferedCall out;
     out.id = id;
     out.group = group;
     out.deadline = deadline;
@@ -39,14 +39,14 @@
         std::set<std::uint64_t> over;
         Instant now {};
         bool isProbing = false;
-        const auto act = [&](const Dispatch& dispatch) {
-            for (const auto& it : dispatch.refused) {
+        const auto act = [&](const AdmissionResult& dispatch) {
+            for (const auto& it : dispatch.refusals) {
                 RC_ASSERT(!running.contains(it.id));
                 RC_ASSERT(over.insert(it.id).second);
                 waiting.erase(it.id);
                 RC_ASSERT(it.retryAfter > 0us);
             }
-            for (const auto id : dispatch.run) {
+            for (const auto id : dispatch.callsToRun) {
                 RC_ASSERT(!over.contains(id));
                 RC_ASSERT(running.insert(id).second);
                 waiting.erase(id);
@@ -65,27 +65,27 @@
                 const auto done = *running.begin();
                 running.erase(done);
                 over.insert(done);
-                act(admission.finished(done, RunEnd::Answered, now));
+                act(admission.onRunEnded(done, RunOutcome::Answered, now));
             } else if (dice < 0.93 && !waiting.empty()) {
                 const auto id2 = *waiting.begin();
                 RC_ASSERT(admission.cancelWaiting(id2));
                 waiting.erase(id2);
                 over.insert(id2);
             } else if (dice < 0.94) {
-                act(admission.giveUpHopeless(now));
+                act(admission.refuseCallsMissingDeadline(now));
             } else if (dice < 0.95) {
                 act(admission.setLeaving(!admission.isLeaving(), now));
                 RC_ASSERT(!admission.isLeaving() || waiting.empty());
-            } else if (!isProbing && admission.inUse() < slots) {
+            } else if (!isProbing && admission.slotsInUse() < slots) {
                 admission.holdSlot();
                 isProbing = true;
             } else if (isProbing) {
                 isProbing = false;
                 act(admission.releaseSlot(now));
             }
-            RC_ASSERT(admission.inUse() == running.size() + isProbing);
+            RC_ASSERT(admission.slotsInUse() == running.size() + isProbing);
             // Work-conserving: nothing waits beside a free slot.
-            RC_ASSERT(admission.inUse() >= slots || admission.load(now).waiting == 0);
+            RC_ASSERT(admission.slotsInUse() >= slots || admission.load(now).waitingCalls == 0);
         }
     });
 }
@@ -94,31 +94,33 @@
 {
     Admission admission(options(1));
     const Instant now {};
-    REQUIRE(admission.offer(offer(1, 1, now + 1s), now).run.size() == 1);
-    REQUIRE(admission.offer(offer(2, 1, now + 1s), now).refused.empty());
+    REQUIRE(admission.offer(offer(1, 1, now + 1s), now).callsToRun.size() == 1);
+    REQUIRE(admission.offer(offer(2, 1, now + 1s), now).refusals.empty());
     const auto late = admission.offer(offer(3, 1, now + 15ms), now);
-    REQUIRE(late.refused.at(0).reason == Reason::WouldMissDeadline);
+    REQUIRE(late.refusals.at(0).reason == Reason::WouldMissDeadline);
     const auto past = admission.offer(offer(4, 1, now), now);
-    REQUIRE(past.refused.at(0).reason == Reason::DeadlinePassed);
-    const auto next = admission.finished(1, RunEnd::Answered, now + 999ms);
-    REQUIRE(next.run.empty());
-    REQUIRE(next.refused.at(0).id == 2);
+    REQUIRE(past.refusals.at(0).reason == Reason::DeadlinePassed);
+    const auto next = admission.onRunEnded(1, RunOutcome::Answered, now + 999ms);
+    REQUIRE(next.callsToRun.empty());
+    REQUIRE(next.refusals.at(0).id == 2);
 }
 
 TEST_CASE("A waiting call that can no longer end in time is given up before its deadline", "[admission]")
 {
     Admission admission(options(1));
     const Instant now {};
-    REQUIRE(admission.offer(offer(1, 1, now + 1s), now).run.size() == 1); // of 10 ms, but it takes longer
-    REQUIRE(admission.offer(offer(2, 1, now + 60ms), now).refused.empty());
-    REQUIRE(admission.offer(offer(3, 2, now + 500ms), now).refused.empty());
-    REQUIRE(admission.giveUpHopeless(now + 49ms).refused.empty());
-    const auto swept = admission.giveUpHopeless(now + 51ms);
-    REQUIRE(swept.refused.size() == 1);
-    REQUIRE(swept.refused.at(0).id == 2);
-    REQUIRE(swept.refused.at(0).reason == Reason::WouldMissDeadline);
-    REQUIRE(admission.load(now).waiting == 1);
-    REQUIRE(admission.finished(1, RunEnd::Answered, now + 100ms).run == std::vector<std::uint64_t> { 3 });
+    REQUIRE(
+        admission.offer(offer(1, 1, now + 1s), now).callsToRun.size() == 1); // of 10 ms, but it takes longer
+    REQUIRE(admission.offer(offer(2, 1, now + 60ms), now).refusals.empty());
+    REQUIRE(admission.offer(offer(3, 2, now + 500ms), now).refusals.empty());
+    REQUIRE(admission.refuseCallsMissingDeadline(now + 49ms).refusals.empty());
+    const auto swept = admission.refuseCallsMissingDeadline(now + 51ms);
+    REQUIRE(swept.refusals.size() == 1);
+    REQUIRE(swept.refusals.at(0).id == 2);
+    REQUIRE(swept.refusals.at(0).reason == Reason::WouldMissDeadline);
+    REQUIRE(admission.load(now).waitingCalls == 1);
+    REQUIRE(admission.onRunEnded(1, RunOutcome::Answered, now + 100ms).callsToRun
+        == std::vector<std::uint64_t> { 3 });
 }
 
 TEST_CASE("What a waiting call will take is judged by how fast the server is now", "[admission]")
@@ -128,7 +130,7 @@
     const auto runOne = [&](std::uint64_t id, Duration held) {
         admission.offer(offer(id, 1, now + 9s), now);
         now += held;
-        admission.finished(id, RunEnd::Answered, now);
+        admission.onRunEnded(id, RunOutcome::Answered, now);
     };
     for (std::uint64_t id = 1; id <= 20; ++id)
         runOne(id, 10ms);
@@ -137,11 +139,11 @@
         runOne(id, 40ms);
     admission.setSlowdown(1, now);
     admission.offer(offer(50, 1, now + 9s), now);
-    REQUIRE(admission.offer(offer(51, 1, now + 70ms), now).refused.empty());
+    REQUIRE(admission.offer(offer(51, 1, now + 70ms), now).refusals.empty());
     now += 35ms;
-    REQUIRE(admission.giveUpHopeless(now).refused.empty());
+    REQUIRE(admission.refuseCallsMissingDeadline(now).refusals.empty());
     admission.setSlowdown(4, now);
-    REQUIRE(admission.giveUpHopeless(now).refused.size() == 1);
+    REQUIRE(admission.refuseCallsMissingDeadline(now).refusals.size() == 1);
 }
 
 TEST_CASE("Queues are bounded in time: a call that would wait too long is refused at once", "[admission]")
@@ -152,9 +154,9 @@
     const Instant now {};
     std::size_t refused = 0;
     for (std::uint64_t id = 1; id <= 40; ++id)
-        refused += admission.offer(offer(id, 1, now + 10s), now).refused.size();
+        refused += admission.offer(offer(id, 1, now + 10s), now).refusals.size();
     // 2 run; 10 ms each over 2 slots, at most 100 ms of waiting.
-    REQUIRE(admission.load(now).waiting <= 20);
+    REQUIRE(admission.load(now).waitingCalls <= 20);
     REQUIRE(refused >= 18);
 }
 
@@ -165,14 +167,14 @@
     admission.offer(offer(1, 1, now + 1s), now);
     admission.offer(offer(2, 1, now + 1s), now);
     const auto moved = admission.setLeaving(true, now);
-    REQUIRE(moved.refused.at(0).id == 2);
-    REQUIRE(moved.refused.at(0).reason == Reason::Leaving);
-    REQUIRE(admission.offer(offer(3, 1, now + 1s), now).refused.at(0).reason == Reason::Leaving);
+    REQUIRE(moved.refusals.at(0).id == 2);
+    REQUIRE(moved.refusals.at(0).reason == Reason::Leaving);
+    REQUIRE(admission.offer(offer(3, 1, now + 1s), now).refusals.at(0).reason == Reason::Leaving);
     REQUIRE_FALSE(admission.isIdle());
-    REQUIRE(admission.finished(1, RunEnd::Answered, now + 5ms).run.empty());
+    REQUIRE(admission.onRunEnded(1, RunOutcome::Answered, now + 5ms).callsToRun.empty());
     REQUIRE(admission.isIdle());
     admission.setLeaving(false, now);
-    REQUIRE(admission.offer(offer(4, 1, now + 1s), now).run.size() == 1);
+    REQUIRE(admission.offer(offer(4, 1, now + 1s), now).callsToRun.size() == 1);
 }
 
 TEST_CASE("A queue that stands is moved, a burst is left alone", "[admission]")
@@ -193,15 +195,15 @@
 
 TEST_CASE("A slow-down shows in running calls before any of them ends", "[admission]")
 {
-    ServiceEstimate estimate(10ms);
+    SlotTimeEstimate estimate(10ms);
     Instant now {};
     for (std::uint64_t id = 0; id < 4; ++id)
-        estimate.started(id, now);
-    REQUIRE(estimate.overall(now + 5ms) == 10ms);
-    REQUIRE(estimate.overall(now + 50ms) == 50ms);
-    REQUIRE(estimate.ended(0, 7, now + 50ms) == 50ms);
-    REQUIRE(estimate.of(7) == 50ms);
-    REQUIRE(estimate.of(8) > 10ms);
+        estimate.onRunStarted(id, now);
+    REQUIRE(estimate.meanIncludingRunning(now + 5ms) == 10ms);
+    REQUIRE(estimate.meanIncludingRunning(now + 50ms) == 50ms);
+    REQUIRE(estimate.onRunEnded(0, 7, now + 50ms) == 50ms);
+    REQUIRE(estimate.expectedSlotTime(7) == 50ms);
+    REQUIRE(estimate.expectedSlotTime(8) > 10ms);
 }
 
 TEST_CASE("After a server was slow for long, one call at a time shows whether it still is", "[admission]")
@@ -212,30 +214,30 @@
     for (std::uint64_t id = 1; id <= 200; ++id) {
         admission.offer(offer(id, 1, now + 60s), now);
         now += 5s;
-        admission.finished(id, RunEnd::Answered, now);
+        admission.onRunEnded(id, RunOutcome::Answered, now);
     }
-    REQUIRE(admission.offer(offer(201, 1, now + 1s), now).run.size() == 1);
+    REQUIRE(admission.offer(offer(201, 1, now + 1s), now).callsToRun.size() == 1);
     const auto second = admission.offer(offer(202, 1, now + 1s), now);
-    REQUIRE(second.refused.at(0).reason == Reason::WouldMissDeadline);
+    REQUIRE(second.refusals.at(0).reason == Reason::WouldMissDeadline);
     for (std::uint64_t id = 201; id < 400; ++id) {
         now += 10ms;
-        admission.finished(id, RunEnd::Answered, now);
-        REQUIRE(admission.offer(offer(id + 1, 1, now + 1s), now).run.size() == 1);
+        admission.onRunEnded(id, RunOutcome::Answered, now);
+        REQUIRE(admission.offer(offer(id + 1, 1, now + 1s), now).callsToRun.size() == 1);
     }
-    REQUIRE(admission.offer(offer(9001, 1, now + 1s), now).run.size() == 1);
+    REQUIRE(admission.offer(offer(9001, 1, now + 1s), now).callsToRun.size() == 1);
 }
 
 TEST_CASE("While the slots of a server are not known, one call runs at a time", "[admission]")
 {
     // A node that starts beside a running server has asked for its health before it is told of its slots.
-    for (std::size_t i = 0; i < countOf<LimitKind>(); ++i) {
+    for (std::size_t i = 0; i < countOf<ConcurrencyLimitKind>(); ++i) {
         auto withLimit = options(12);
-        withLimit.limit = static_cast<LimitKind>(i);
+        withLimit.limitKind = static_cast<ConcurrencyLimitKind>(i);
         Admission admission(withLimit);
         admission.setSlots(0);
         const Instant now {};
-        REQUIRE(admission.offer(offer(1, 1, now + 1s), now).run.size() == 1);
-        REQUIRE(admission.offer(offer(2, 1, now + 1s), now).run.empty());
+        REQUIRE(admission.offer(offer(1, 1, now + 1s), now).callsToRun.size() == 1);
+        REQUIRE(admission.offer(offer(2, 1, now + 1s), now).callsToRun.empty());
         admission.setSlots(12);
         REQUIRE(admission.limit() > 1);
     }
@@ -250,21 +252,22 @@
     const auto ranked = [&](std::uint64_t id, std::uint32_t group, std::uint32_t rank) {
         auto out = offer(id, group, now + 10s);
         out.rank = rank;
-        out.inTimeUntil = now + 5s;
+        out.softDeadline = now + 5s;
         return out;
     };
-    REQUIRE(admission.offer(ranked(1, 1, 5), now).run.size() == 1);
-    REQUIRE(admission.goesNext(7, 0, 0));
+    REQUIRE(admission.offer(ranked(1, 1, 5), now).callsToRun.size() == 1);
+    REQUIRE(admission.wouldGetNextSlot(7, 0, 0));
     for (std::uint64_t id = 2; id < 6; ++id)
         admission.offer(ranked(id, static_cast<std::uint32_t>(id), 5), now);
-    REQUIRE(admission.goesNext(7, 0, 0));
-    REQUIRE_FALSE(admission.goesNext(7, 6, 0));
+    REQUIRE(admission.wouldGetNextSlot(7, 0, 0));
+    REQUIRE_FALSE(admission.wouldGetNextSlot(7, 6, 0));
     admission.offer(ranked(9, 7, 0), now);
-    REQUIRE_FALSE(admission.goesNext(7, 0, 0));
+    REQUIRE_FALSE(admission.wouldGetNextSlot(7, 0, 0));
     now += 10ms;
-    REQUIRE(admission.finished(1, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 9 });
+    REQUIRE(
+        admission.onRunEnded(1, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 9 });
     (void)admission.setLeaving(true, now);
-    REQUIRE_FALSE(admission.goesNext(7, 0, 0));
+    REQUIRE_FALSE(admission.wouldGetNextSlot(7, 0, 0));
 }
 
 TEST_CASE("A run is overdue well beyond what its class took so far, not before", "[admission]")
@@ -274,12 +277,12 @@
     for (std::uint64_t id = 1; id <= 50; ++id) {
         admission.offer(offer(id, 1, now + 10s), now);
         now += 100ms;
-        (void)admission.finished(id, RunEnd::Answered, now);
+        (void)admission.onRunEnded(id, RunOutcome::Answered, now);
     }
-    REQUIRE_FALSE(admission.hasOverdue(now));
+    REQUIRE_FALSE(admission.hasOverdueRun(now));
     admission.offer(offer(99, 1, now + 10s), now);
-    REQUIRE_FALSE(admission.hasOverdue(now + 120ms));
-    REQUIRE(admission.hasOverdue(now + 150ms));
-    (void)admission.finished(99, RunEnd::Answered, now + 200ms);
-    REQUIRE_FALSE(admission.hasOverdue(now + 200ms));
+    REQUIRE_FALSE(admission.hasOverdueRun(now + 120ms));
+    REQUIRE(admission.hasOverdueRun(now + 150ms));
+    (void)admission.onRunEnded(99, RunOutcome::Answered, now + 200ms);
+    REQUIRE_FALSE(admission.hasOverdueRun(now + 200ms));
 }
--- a/test/FairQueueTest.cpp
+++ b/test/FairQueueTest.cpp
@@ -29,7 +29,7 @@
         const auto next = *queue.pop();
         const Duration actual = held(next.group);
         served[next.group] += toSeconds(actual);
-        queue.settle(next.group, next.expectedCost, actual);
+        queue.settle(next.group, next.expectedSlotTime, actual);
         queue.push(call(++id, next.group));
     }
     return served;
@@ -45,7 +45,7 @@
         const auto costs = *rc::gen::container<std::vector<int>>(groups, rc::gen::inRange(1, 50));
         FairQueue queue(1000, 100ms);
         for (std::uint32_t i = 0; i < groups; ++i)
-            queue.setWeight(i, weights[i]);
+            queue.setGroupWeight(i, weights[i]);
         const auto served
             = serveBacklogged(queue, groups, 4000, [&](auto group) { return costs[group] * 1ms; });
         // Start-time fairness: normalised service of two waiting groups differs by at most a call of each,
@@ -82,7 +82,7 @@
     const auto servedOfFirst = [&] {
         int n = 0;
         for (int i = 0; i < 40; ++i) {
-            queue.chargeElsewhere(1, 5ms);
+            queue.chargeSlotTimeElsewhere(1, 5ms);
             queue.push(call(++id, 1));
             queue.push(call(++id, 2));
             n += queue.pop()->group == 1;
@@ -93,8 +93,8 @@
     const int n = servedOfFirst();
     REQUIRE(n >= 9);
     REQUIRE(n <= 11);
-    queue.clear();
-    queue.chargeElsewhere(1, 3600s);
+    queue.removeAll();
+    queue.chargeSlotTimeElsewhere(1, 3600s);
     REQUIRE(servedOfFirst() >= 5);
 }
 
@@ -108,7 +108,7 @@
     const auto evicted = queue.push(call(101, 2));
     REQUIRE(evicted);
     REQUIRE(evicted->id == 9);
-    REQUIRE(queue.sizeOf(2) == 2);
+    REQUIRE(queue.sizeOfGroup(2) == 2);
     REQUIRE(queue.push(call(102, 1))->id == 102);
 }
 
@@ -122,8 +122,9 @@
     const auto removed = queue.removeIf([](const QueuedCall& it) { return it.id % 2 == 0; });
     REQUIRE(removed.size() == 2);
     REQUIRE(queue.size() == 2);
-    REQUIRE(queue.sizeOf(1) == 1);
-    REQUIRE(queue.timeAhead(1, 0, 3) == 20ms); // its own call, while the other group has every second turn
+    REQUIRE(queue.sizeOfGroup(1) == 1);
+    REQUIRE(
+        queue.slotTimeAhead(1, 0, 3) == 20ms); // its own call, while the other group has every second turn
     REQUIRE(queue.pop()->id == 1);
     REQUIRE(queue.pop()->id == 3);
     REQUIRE(queue.isEmpty());
@@ -135,12 +136,12 @@
     queue.push(call(1, 1, 2));
     queue.push(call(2, 1, 0));
     queue.push(call(3, 1, 0));
-    REQUIRE(queue.timeAhead(1, 0, 0) == 20ms);
+    REQUIRE(queue.slotTimeAhead(1, 0, 0) == 20ms);
     REQUIRE(queue.cancel(1, 2)->id == 2);
     REQUIRE(queue.pop()->id == 3);
     REQUIRE(queue.pop()->id == 1);
     REQUIRE_FALSE(queue.pop());
-    REQUIRE_THROWS_AS(queue.setWeight(1, 0), PreconditionError);
+    REQUIRE_THROWS_AS(queue.setGroupWeight(1, 0), PreconditionError);
 }
 
 TEST_CASE("The lowest rank goes first over all groups, and inside a rank groups take turns", "[fairness]")
@@ -154,10 +155,10 @@
     queue.push(ranked(3, 2, 5));
     queue.push(ranked(4, 1, 2));
     queue.push(ranked(5, 3, 7));
-    REQUIRE(
-        queue.timeAhead(2, 5, 0) == 30ms); // the lower rank, and its own call in turn with the other group's
-    REQUIRE(queue.timeAhead(4, 6, 0) == 40ms);
-    REQUIRE(queue.timeAhead(4, 0, 0) == Duration::zero());
+    REQUIRE(queue.slotTimeAhead(2, 5, 0)
+        == 30ms); // the lower rank, and its own call in turn with the other group's
+    REQUIRE(queue.slotTimeAhead(4, 6, 0) == 40ms);
+    REQUIRE(queue.slotTimeAhead(4, 0, 0) == Duration::zero());
     std::vector<std::uint64_t> order;
     while (const auto it = queue.pop())
         order.push_back(it->id);
--- a/test/LearntLimitTest.cpp
+++ b/test/LearntLimitTest.cpp
@@ -52,7 +52,7 @@
             const auto call = running.top();
             running.pop();
             now = call.end;
-            limit.ended(call.sample);
+            limit.addSample(call.sample);
             if (now > Instant(length / 2))
                 ++seen[limit.limit()];
         }
@@ -137,7 +137,7 @@
 TEST_CASE("Calls that end at once teach a learnt limit no more than a third of the usual work", "[limit]")
 {
     LearntLimit limit(slots);
-    limit.ended({ 1, 1, limit.limit(), 1ms, 400ms });
+    limit.addSample({ 1, 1, limit.limit(), 1ms, 400ms });
     Server server { .knee = 0.8, .factor = 1.7 };
     const auto found = server.run(limit, 20s);
     REQUIRE(found >= 13);
@@ -150,7 +150,7 @@
         LearntLimit limit(n);
         REQUIRE(limit.limit() >= 1);
         for (std::uint32_t i = 0; i < 2000; ++i) {
-            limit.ended({ 1, std::min(limit.limit(), n), limit.limit(), 10ms, 400ms });
+            limit.addSample({ 1, std::min(limit.limit(), n), limit.limit(), 10ms, 400ms });
             REQUIRE(limit.limit() <= n);
         }
         REQUIRE(limit.limit() == n);
--- a/test/RoomForNestedTest.cpp
+++ b/test/NestedCallReservationTest.cpp
@@ -1,4 +1,4 @@
-#include "Queueing/RoomForNested.h"
+#include "Queueing/NestedCallReservation.h"
 #include "Queueing/Admission.h"
 
 #include <catch2/catch.hpp>
@@ -7,20 +7,20 @@
 
 namespace {
 
-Offer offer(std::uint64_t id, std::uint32_t callClass, std::uint32_t urgency, Instant now)
+OfferedCall offer(std::uint64_t id, std::uint32_t callClass, std::uint32_t urgency, Instant now)
 {
-    Offer out;
+    OfferedCall out;
     out.id = id;
     out.group = 1;
     out.callClass = callClass;
     out.priority = 2;
     out.urgency = urgency;
     out.deadline = now + 10s;
-    out.inTimeUntil = now + 5s;
+    out.softDeadline = now + 5s;
     return out;
 }
 
-Offer nested(std::uint64_t id, std::uint32_t parentUrgency, Instant now)
+OfferedCall nested(std::uint64_t id, std::uint32_t parentUrgency, Instant now)
 {
     auto out = offer(id, 9, 0, now);
     out.priority = 0;
@@ -49,12 +49,14 @@
         admission.offer(offer(id, 1, 7, now), now);
     admission.offer(nested(21, 3, now), now);
     now += 10ms;
-    REQUIRE(admission.finished(1, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 21 });
+    REQUIRE(
+        admission.onRunEnded(1, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 21 });
     // Three of the burst still run: their slots are not given to others of it beyond half.
-    REQUIRE(admission.finished(2, RunEnd::Answered, now).run.empty());
-    REQUIRE(admission.finished(3, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 11 });
+    REQUIRE(admission.onRunEnded(2, RunOutcome::Answered, now).callsToRun.empty());
+    REQUIRE(
+        admission.onRunEnded(3, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 11 });
     // The next nested call finds a slot at once.
-    REQUIRE(admission.offer(nested(22, 3, now), now).run == std::vector<std::uint64_t> { 22 });
+    REQUIRE(admission.offer(nested(22, 3, now), now).callsToRun == std::vector<std::uint64_t> { 22 });
 }
 
 TEST_CASE("Calls as urgent as the runs that nested ones are for keep all slots", "[admission]")
@@ -64,8 +66,10 @@
     admission.offer(offer(11, 1, 3, now), now);
     admission.offer(nested(21, 3, now), now);
     now += 10ms;
-    REQUIRE(admission.finished(1, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 21 });
-    REQUIRE(admission.finished(2, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 11 });
+    REQUIRE(
+        admission.onRunEnded(1, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 21 });
+    REQUIRE(
+        admission.onRunEnded(2, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 11 });
 }
 
 TEST_CASE("Slots that are kept are given back a moment after nested calls no longer wait", "[admission]")
@@ -75,14 +79,16 @@
     admission.offer(offer(11, 1, 7, now), now);
     admission.offer(nested(21, 3, now), now);
     now += 10ms;
-    REQUIRE(admission.finished(1, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 21 });
+    REQUIRE(
+        admission.onRunEnded(1, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 21 });
     now += 400ms;
-    REQUIRE(admission.finished(21, RunEnd::Answered, now).run == std::vector<std::uint64_t> { 11 });
+    REQUIRE(
+        admission.onRunEnded(21, RunOutcome::Answered, now).callsToRun == std::vector<std::uint64_t> { 11 });
 }
 
 TEST_CASE("Where one slot is all there is, the least urgent calls still get it in turn", "[admission]")
 {
-    REQUIRE(RoomForNested::slotsFor(1) == 1);
-    REQUIRE(RoomForNested::slotsFor(2) == 1);
-    REQUIRE(RoomForNested::slotsFor(7) == 3);
+    REQUIRE(NestedCallReservation::maxLessUrgentSlots(1) == 1);
+    REQUIRE(NestedCallReservation::maxLessUrgentSlots(2) == 1);
+    REQUIRE(NestedCallReservation::maxLessUrgentSlots(7) == 3);
 }
--- a/test/StepwiseLimitTest.cpp
+++ b/test/StepwiseLimitTest.cpp
@@ -46,7 +46,7 @@
                 beyondKnee += inUse > knee ? 1 : 0;
             }
             now = running.top().end;
-            limit.ended(running.top().sample);
+            limit.addSample(running.top().sample);
             running.pop();
         }
     }
@@ -129,17 +129,17 @@
     constexpr double slow = 4;
     Admission::Options options;
     options.slots = slots;
-    options.limit = LimitKind::Stepwise;
-    options.share = 0.8;
+    options.limitKind = ConcurrencyLimitKind::Stepwise;
+    options.slotShare = 0.8;
     options.queueLimit = 10;
-    options.maxWait = 1000;
+    options.maxWaitSlotTimes = 1000;
     Admission admission(options);
     Random random(seed);
     std::unordered_map<std::uint64_t, double> left; ///< seconds of work, of calls that run
     std::uint64_t lastId = 0;
     double slowdown = 1;
-    const auto start = [&](const Dispatch& dispatch) {
-        for (const auto id : dispatch.run) {
+    const auto start = [&](const AdmissionResult& dispatch) {
+        for (const auto id : dispatch.callsToRun) {
             const double longer = left.size() >= knee ? factor : 1;
             left[id] = random.logNormal(0.15, 0.33) * longer;
         }
@@ -157,13 +157,13 @@
         }
         for (const auto id : done) {
             left.erase(id);
-            start(admission.finished(id, RunEnd::Answered, now));
+            start(admission.onRunEnded(id, RunOutcome::Answered, now));
         }
-        while (admission.load(now).waiting < 3) {
-            Offer offer;
+        while (admission.load(now).waitingCalls < 3) {
+            OfferedCall offer;
             offer.id = ++lastId;
             offer.deadline = now + 60s;
-            offer.inTimeUntil = now + 60s;
+            offer.softDeadline = now + 60s;
             start(admission.offer(offer, now));
         }
     }
--- a/test/TimelyTest.cpp
+++ b/test/TimelyTest.cpp
@@ -1,7 +1,7 @@
 #include "Node/BackendReply.h"
 #include "Queueing/Admission.h"
+#include "Queueing/ClassSlotTimeEstimate.h"
 #include "Queueing/WorkClock.h"
-#include "Queueing/WorkEstimate.h"
 #include "Routing/CallBytes.h"
 #include "Routing/RemainingTime.h"
 #include "Routing/ServiceRouter.h"
@@ -15,13 +15,13 @@
 
 constexpr Instant start { 1s };
 
-Offer offer(std::uint64_t id, std::uint32_t priority, Duration target, Duration deadline = 1s)
+OfferedCall offer(std::uint64_t id, std::uint32_t priority, Duration target, Duration deadline = 1s)
 {
-    Offer out;
+    OfferedCall out;
     out.id = id;
     out.priority = priority;
     out.deadline = start + deadline;
-    out.inTimeUntil = start + target;
+    out.softDeadline = start + target;
     return out;
 }
 
@@ -30,7 +30,7 @@
 {
     Admission::Options options;
     options.slots = 1;
-    options.initialService = 100ms;
+    options.initialSlotTime = 100ms;
     Admission admission(options);
     admission.offer(offer(1, 1, 500ms), start);
     return admission;
@@ -61,21 +61,21 @@
 {
     auto admission = busyAdmission();
     const auto late = admission.offer(offer(2, 1, 150ms), start);
-    REQUIRE(late.refused.at(0).reason == Reason::WouldBeLate);
-    REQUIRE(late.refused.at(0).retryAfter > 0ms);
-    REQUIRE(admission.offer(offer(3, 1, 400ms), start).refused.empty());
+    REQUIRE(late.refusals.at(0).reason == Reason::WouldBeLate);
+    REQUIRE(late.refusals.at(0).retryAfter > 0ms);
+    REQUIRE(admission.offer(offer(3, 1, 400ms), start).refusals.empty());
     Admission idle { Admission::Options {} };
-    REQUIRE(idle.offer(offer(4, 1, 1us), start).run == std::vector<std::uint64_t> { 4 });
+    REQUIRE(idle.offer(offer(4, 1, 1us), start).callsToRun == std::vector<std::uint64_t> { 4 });
 }
 
 TEST_CASE("A waiting call that can't be in time any more gives way to those that can", "[timely]")
 {
     auto admission = busyAdmission();
-    REQUIRE(admission.offer(offer(2, 1, 250ms), start).refused.empty());
-    REQUIRE(admission.offer(offer(3, 1, 900ms), start).refused.empty());
-    const auto next = admission.finished(1, RunEnd::Answered, start + 200ms);
-    REQUIRE(next.refused.at(0).id == 2);
-    REQUIRE(next.run == std::vector<std::uint64_t> { 3 });
+    REQUIRE(admission.offer(offer(2, 1, 250ms), start).refusals.empty());
+    REQUIRE(admission.offer(offer(3, 1, 900ms), start).refusals.empty());
+    const auto next = admission.onRunEnded(1, RunOutcome::Answered, start + 200ms);
+    REQUIRE(next.refusals.at(0).id == 2);
+    REQUIRE(next.callsToRun == std::vector<std::uint64_t> { 3 });
 }
 
 TEST_CASE("More urgent calls go first", "[timely]")
@@ -83,18 +83,19 @@
     auto admission = busyAdmission();
     admission.offer(offer(2, 2, 900ms), start);
     admission.offer(offer(3, 0, 900ms), start);
-    REQUIRE(admission.finished(1, RunEnd::Answered, start + 100ms).run == std::vector<std::uint64_t> { 3 });
+    REQUIRE(admission.onRunEnded(1, RunOutcome::Answered, start + 100ms).callsToRun
+        == std::vector<std::uint64_t> { 3 });
 }
 
 TEST_CASE("Slot times are kept apart for calm and slow starts", "[timely]")
 {
-    WorkEstimate work;
-    REQUIRE_FALSE(work.of(1));
-    work.add(100ms, 1);
-    REQUIRE(work.of(4) == 100ms); // nothing better is known
-    work.add(300ms, 4);
-    REQUIRE(work.of(1) == 100ms);
-    REQUIRE(work.of(4) == 300ms);
+    ClassSlotTimeEstimate work;
+    REQUIRE_FALSE(work.expectedSlotTime(1));
+    work.addSample(100ms, 1);
+    REQUIRE(work.expectedSlotTime(4) == 100ms); // nothing better is known
+    work.addSample(300ms, 4);
+    REQUIRE(work.expectedSlotTime(1) == 100ms);
+    REQUIRE(work.expectedSlotTime(4) == 300ms);
 }
 
 TEST_CASE("Calls go to a near upstream that is in time, else to a far one", "[timely]")
@@ -116,7 +117,7 @@
     auto router = routerOf({ { "a", 9, 0ms, false }, { "b", 9, 0ms, false } });
     Random random(1);
     auto down = told(1, 0);
-    down.load.isDown = true;
+    down.load.isUnreachable = true;
     router.heard("a", down, start);
     for (int i = 0; i < 10; ++i)
         REQUIRE(router.pick({}, { 0, "c", 250ms }, start, random) == "b");
@@ -174,16 +175,16 @@
 TEST_CASE("The work clock runs slower while a slow-down is told, and tells how long that was", "[timely]")
 {
     WorkClock clock;
-    REQUIRE_FALSE(clock.told(1, start));
+    REQUIRE_FALSE(clock.setSlowdown(1, start));
     const auto begin = clock.read(start);
     REQUIRE(clock.read(start + 100ms) - begin == 100ms);
-    REQUIRE_FALSE(clock.told(4, start + 100ms));
+    REQUIRE_FALSE(clock.setSlowdown(4, start + 100ms));
     REQUIRE(clock.read(start + 300ms) - begin == 150ms);
-    REQUIRE_FALSE(clock.told(8, start + 300ms)); // still slow
-    REQUIRE(clock.told(1, start + 700ms) == 600ms);
+    REQUIRE_FALSE(clock.setSlowdown(8, start + 300ms)); // still slow
+    REQUIRE(clock.setSlowdown(1, start + 700ms) == 600ms);
     REQUIRE(clock.read(start + 700ms) - begin == 200ms);
     REQUIRE(clock.read(start) - begin <= 200ms); // an earlier time doesn't turn it back
-    REQUIRE_FALSE(clock.told(0.5, start + 800ms)); // nothing is faster than calm
+    REQUIRE_FALSE(clock.setSlowdown(0.5, start + 800ms)); // nothing is faster than calm
     REQUIRE(clock.read(start + 900ms) - begin == 400ms);
 }
 
--- a/test/WarmUpTest.cpp
+++ b/test/WarmUpTest.cpp
@@ -18,7 +18,7 @@
 
 constexpr Duration warmUpLength = 3s;
 
-WarmUpTerms terms()
+WarmUpSettings terms()
 {
     return { warmUpLength, { 24, 6 } };
 }
@@ -43,13 +43,13 @@
     rc::prop(
         "over arrivals, news that is late or lost, doubts and restarts of its owner", [](std::uint64_t seed) {
             Random random(seed);
-            const auto kind = random.chance(0.5) ? ColdPaceKind::Smooth : ColdPaceKind::Window;
+            const auto kind = random.chance(0.5) ? WarmUpPacerKind::Smooth : WarmUpPacerKind::Window;
             const double rate = 5 + 395 * random.unit();
             Instant now { 100s };
             auto coldUntil = now + warmUpLength;
             WarmUp owner(kind);
-            owner.setTerms(terms());
-            owner.doubt(now);
+            owner.setSettings(terms());
+            owner.markUncertain(now);
             std::vector<Instant> whileCold;
             for (int i = 0; i < 2000; ++i) {
                 now += Duration(static_cast<std::int64_t>(random.exponential(1e6 / rate)) + 1);
@@ -57,20 +57,20 @@
                 if (dice < 0.005) {
                     // The owner is killed; the next one knows nothing, and comes up a moment later.
                     owner = WarmUp(kind);
-                    owner.setTerms(terms());
-                    owner.doubt(now += 5ms);
+                    owner.setSettings(terms());
+                    owner.markUncertain(now += 5ms);
                 } else if (dice < 0.01) {
                     // The server turns cold unseen, and something makes the owner doubt before it sends.
                     coldUntil = now + warmUpLength;
-                    owner.doubt(now);
+                    owner.markUncertain(now);
                 } else if (dice < 0.03) {
-                    owner.announced(std::max(coldUntil - now, Duration::zero()), now);
+                    owner.onAnnouncement(std::max(coldUntil - now, Duration::zero()), now);
                 } else if (dice < 0.05) {
-                    owner.answered(std::max(coldUntil - now, Duration::zero()), now, now);
+                    owner.onHealthAnswer(std::max(coldUntil - now, Duration::zero()), now, now);
                 }
                 if (owner.nextStart(now) > now)
                     continue;
-                owner.started(now);
+                owner.onCallStarted(now);
                 if (now < coldUntil)
                     whileCold.push_back(now);
             }
@@ -80,17 +80,17 @@
 
 TEST_CASE("A pace serves what the bound allows, and ends with the warm-up", "[warm-up]")
 {
-    const auto kind = GENERATE(ColdPaceKind::Smooth, ColdPaceKind::Window);
+    const auto kind = GENERATE(WarmUpPacerKind::Smooth, WarmUpPacerKind::Window);
     WarmUp owner(kind);
-    owner.setTerms(terms());
+    owner.setSettings(terms());
     Instant now { 100s };
     const auto begin = now;
-    owner.announced(warmUpLength, now);
+    owner.onAnnouncement(warmUpLength, now);
     int started = 0;
     for (; now < begin + warmUpLength; now += 1ms) {
         if (owner.nextStart(now) > now)
             continue;
-        owner.started(now);
+        owner.onCallStarted(now);
         ++started;
     }
     REQUIRE(started >= 72); // 24 a second
@@ -101,18 +101,18 @@
 TEST_CASE("Only an answer to a question of later ends a doubt; a late announcement doesn't", "[warm-up]")
 {
     WarmUp owner;
-    owner.setTerms(terms());
+    owner.setSettings(terms());
     const Instant now { 100s };
-    owner.announced(Duration::zero(), now);
+    owner.onAnnouncement(Duration::zero(), now);
     REQUIRE_FALSE(owner.isCold(now));
-    owner.doubt(now + 1s);
-    owner.announced(Duration::zero(), now + 1100ms); // sent before it turned cold
-    owner.answered(Duration::zero(), now + 900ms, now + 1100ms);
-    REQUIRE(owner.isInDoubt(now + 1200ms));
-    owner.answered(2s, now + 1100ms, now + 1200ms);
-    REQUIRE_FALSE(owner.isInDoubt(now + 1200ms));
-    REQUIRE(owner.left(now + 1200ms) == 2s);
-    owner.announced(Duration::zero(), now + 1300ms);
+    owner.markUncertain(now + 1s);
+    owner.onAnnouncement(Duration::zero(), now + 1100ms); // sent before it turned cold
+    owner.onHealthAnswer(Duration::zero(), now + 900ms, now + 1100ms);
+    REQUIRE(owner.isUncertain(now + 1200ms));
+    owner.onHealthAnswer(2s, now + 1100ms, now + 1200ms);
+    REQUIRE_FALSE(owner.isUncertain(now + 1200ms));
+    REQUIRE(owner.remainingTime(now + 1200ms) == 2s);
+    owner.onAnnouncement(Duration::zero(), now + 1300ms);
     REQUIRE_FALSE(owner.isCold(now + 1300ms));
 }
 
@@ -120,9 +120,9 @@
 {
     WarmUp owner;
     const Instant now { 100s };
-    owner.doubt(now);
+    owner.markUncertain(now);
     REQUIRE_FALSE(owner.isCold(now));
-    owner.announced(3s, now); // told, but without a bound
+    owner.onAnnouncement(3s, now); // told, but without a bound
     REQUIRE(owner.nextStart(now) <= now);
     REQUIRE_FALSE(owner.isPaced(now));
 }
@@ -154,7 +154,7 @@
         bool isSecondTry = false;
     };
 
-    explicit ColdService(ColdPaceKind kind)
+    explicit ColdService(WarmUpPacerKind kind)
     {
         ServiceRouter::Options routing;
         routing.kind = ChoiceKind::Timely;
@@ -163,11 +163,11 @@
         for (std::size_t i = 0; i < servers; ++i) {
             Admission::Options options;
             options.slots = slots;
-            options.initialService = work;
+            options.initialSlotTime = work;
             Server server { "s" + std::to_string(i), std::make_unique<Admission>(options), {} };
-            server.admission->warmUp().setKind(kind);
-            server.admission->warmUp().setTerms(terms());
-            server.admission->warmUp().announced(warmUpLength, loop.now());
+            server.admission->warmUp().setPacerKind(kind);
+            server.admission->warmUp().setSettings(terms());
+            server.admission->warmUp().onAnnouncement(warmUpLength, loop.now());
             targets.push_back({ server.name, slots, 1ms, false });
             all.push_back(std::move(server));
         }
@@ -195,34 +195,34 @@
         router->sent(*name, group);
         const auto id = ++lastId;
         calls[id] = call;
-        Offer offer;
+        OfferedCall offer;
         offer.id = id;
         offer.group = group;
         offer.deadline = call.first + deadline;
-        offer.inTimeUntil = call.first + target;
+        offer.softDeadline = call.first + target;
         act(call.server, all[call.server].admission->offer(offer, loop.now()));
     }
 
-    void act(std::size_t i, const Dispatch& dispatch)
+    void act(std::size_t i, const AdmissionResult& dispatch)
     {
         auto& server = all[i];
-        for (const auto& it : dispatch.refused)
+        for (const auto& it : dispatch.refusals)
             refused(it.id);
-        for (const auto id : dispatch.run) {
+        for (const auto id : dispatch.callsToRun) {
             server.starts.push_back(loop.now());
             const bool isCold = loop.now() < Instant(warmUpLength);
             loop.after(work * (isCold ? 2 : 1), [this, id] { ended(id); });
         }
-        if (const auto next = server.admission->nextStart(loop.now()))
+        if (const auto next = server.admission->nextPacedStart(loop.now()))
             loop.after(std::max(*next - loop.now(), Duration(1)),
-                [this, i] { act(i, all[i].admission->resume(loop.now())); });
+                [this, i] { act(i, all[i].admission->startReadyCalls(loop.now())); });
     }
 
     void told(const Call& call, Duration held)
     {
         Report report;
         report.load = all[call.server].admission->load(loop.now());
-        report.queued = report.load.waiting;
+        report.queued = report.load.waitingCalls;
         report.heard = loop.now();
         router->answered(all[call.server].name, group, report, held, false, loop.now());
     }
@@ -244,7 +244,7 @@
         const bool isInTime = loop.now() <= call.first + target;
         ++(call.first < Instant(warmUpLength + 1s) ? servedEarly : servedLater);
         late += !isInTime;
-        act(call.server, all[call.server].admission->finished(id, RunEnd::Answered, loop.now()));
+        act(call.server, all[call.server].admission->onRunEnded(id, RunOutcome::Answered, loop.now()));
         told(call, work);
     }
 
@@ -265,7 +265,7 @@
 
 TEST_CASE("A service that comes back cold under 2.5 times its pace is not driven down again", "[warm-up]")
 {
-    const auto kind = GENERATE(ColdPaceKind::Smooth, ColdPaceKind::Window);
+    const auto kind = GENERATE(WarmUpPacerKind::Smooth, WarmUpPacerKind::Window);
     ColdService f(kind);
     for (const auto& it : f.all) {
         std::vector<Instant> whileCold;
