--- a/src/Queueing/Admission.cpp
+++ b/src/Queueing/Admission.cpp
@@ -7,19 +7,20 @@
 namespace robinrun {
 namespace {
 
-    /// A refused caller is asked to stay away at least this long: shorter repeats only add load.
+    /// Lower limit of the retry delay given to a refused caller: earlier retries only add load.
     constexpr Duration minRetryAfter = 20ms;
 
-    /// A server stops at the deadline that it was told in whole milliseconds, and its answer crosses the
-    /// network: a call that fails so shortly before its deadline, or later, ran out of time.
+    /// A server aborts a call at a deadline that it receives in whole milliseconds, and its answer takes time
+    /// on the network. Therefore a call that fails later than this before its deadline counts as timed out.
     constexpr Duration deadlineTolerance = 20ms;
 
-    /// Runs during which the server told of a slow-down teach most limits nothing: only a part of what a call
-    /// does is slowed, and news of the slow-down is old. A run is calm if its work took this part of its time
-    /// at least.
+    /// Most concurrency limits ignore runs during which the server reported a slowdown: only a part of the
+    /// work of a call is slowed, and the report is delayed, so the computed work time is inexact. A run is
+    /// used if its work time is at least this share of its run time.
     constexpr double minCalmWorkRatio = 0.95;
 
-    /// Work varies by a third: a run that takes longer than that is unusual.
+    /// The work time has a standard deviation of about a third of its mean; a run counts as overdue beyond
+    /// this multiple of its expected slot time.
     constexpr double overdueFactor = 1.3;
 
 } // namespace
@@ -81,7 +82,7 @@
         return warmUpWait(Duration::zero(), now);
     const double slotSecondsAhead = toSeconds(m_queue.slotTimeAhead(group, rank, priority));
     const double slots = limit();
-    // The next slot comes free after about one slot time over the number of slots.
+    // With all slots in use, the next one becomes free after about mean slot time / number of slots.
     const double firstSlotWaitSeconds
         = slotsInUse() < limit() ? 0 : toSeconds(m_slotTimeEstimate.meanIncludingRunning(now)) / slots;
     return std::max(fromSeconds(firstSlotWaitSeconds + slotSecondsAhead / slots),
@@ -115,7 +116,7 @@
 AdmissionResult Admission::offer(const OfferedCall& offer, Instant now)
 {
     require(!m_waitingCalls.contains(offer.id) && !m_runningCalls.contains(offer.id),
-        "Admission::offer: id is new");
+        "Admission::offer: the id must not be in use by a waiting or running call");
     AdmissionResult out;
     const auto slotTime = m_slotTimeEstimate.expectedSlotTime(offer.callClass);
     const QueuedCall call { offer.id, offer.group, offer.rank, offer.priority, now, offer.deadline, slotTime,
@@ -159,7 +160,7 @@
     if (call.softDeadline == Instant::max())
         return wait > m_options.maxWaitSlotTimes * m_slotTimeEstimate.mean() ? Reason::QueueFull
                                                                              : Reason::None;
-    // With a slot free it is served, late or not; a place in the queue goes to those that can be in time.
+    // With a free slot the call runs even if it will be late; only calls that can be in time are queued.
     return wait > Duration::zero() && expectedEnd > call.softDeadline ? Reason::WouldBeLate : Reason::None;
 }
 
@@ -196,7 +197,7 @@
 AdmissionResult Admission::onRunEnded(std::uint64_t id, RunOutcome outcome, Instant now)
 {
     const auto it = m_runningCalls.find(id);
-    require(it != m_runningCalls.end(), "Admission::finished: the call was running");
+    require(it != m_runningCalls.end(), "Admission::onRunEnded: the call must be running");
     const auto held = m_slotTimeEstimate.onRunEnded(id, it->second.callClass, now);
     m_queue.settle(it->second.group, it->second.expectedSlotTime, held);
     addLimitSample(it->second, outcome, now);
@@ -247,7 +248,7 @@
 
 AdmissionResult Admission::releaseSlot(Instant now)
 {
-    require(m_heldSlots > 0, "Admission::releaseSlot: a slot is held");
+    require(m_heldSlots > 0, "Admission::releaseSlot: holdSlot() must have been called before");
     --m_heldSlots;
     AdmissionResult out;
     startWaitingCalls(out, now);
--- a/src/Queueing/ClassSlotTimeEstimate.h
+++ b/src/Queueing/ClassSlotTimeEstimate.h
@@ -9,19 +9,19 @@
 
 namespace robinrun {
 
-/// \brief How long calls of one class hold a slot, apart for those that started on a calm backend server and
-/// on one that told of a slow-down.
+/// \brief Estimates the slot time of calls of one class, separately for calls that start while the backend
+/// server reports a slowdown and for all others.
 ///
-/// Slow phases of shared hosts are often shorter than a call, so that a call which starts in one takes
-/// longer, but by far less than the factor told. The two means are measured rather than computed from the
-/// factor. Cost: O(1); 48 bytes.
+/// Slow phases of shared hosts are often shorter than a call. A call that starts in such a phase takes
+/// longer, but by far less than the reported factor. Therefore the two means are measured separately instead
+/// of scaling one by the factor. Cost: O(1); 48 bytes.
 class ClassSlotTimeEstimate {
 public:
-    /// \param slowdown as it was known when the call was sent.
+    /// \param slowdown factor known when the call was sent.
     void addSample(Duration held, double slowdown) { m_meanSeconds[bucketOf(slowdown)].add(toSeconds(held)); }
 
-    /// \returns the mean slot time of calls that start under \a slowdown; of the others if there were none;
-    /// nothing if there were none at all.
+    /// \returns the mean slot time of calls that start under \a slowdown; the other mean if there are no such
+    /// calls; nothing if there are no calls at all.
     std::optional<Duration> expectedSlotTime(double slowdown) const
     {
         const auto bucket = bucketOf(slowdown);
--- a/src/Queueing/ConcurrencyLimit.cpp
+++ b/src/Queueing/ConcurrencyLimit.cpp
@@ -8,7 +8,8 @@
 
     constexpr double shortTermSampleWeight = 0.1;
     constexpr double longTermSampleWeight = 0.005;
-    /// The work time may rise by this factor before the gradient counts it, and halves the limit at most.
+    /// The work time may rise by this factor before the gradient falls below 1. A gradient of at least 0.5
+    /// halves the target limit at most.
     constexpr double gradientTolerance = 1.5;
     constexpr double minGradient = 0.5;
     constexpr double limitSmoothing = 0.05;
@@ -36,7 +37,7 @@
     const double gradient = std::clamp(
         gradientTolerance * m_longTermWorkSeconds.value() / m_shortTermWorkSeconds.value(), minGradient, 1.0);
     if (sample.concurrency < sample.limitAtStart && gradient == 1)
-        return; // nothing asks for more
+        return; // the load does not fill the limit, so there is no reason to raise it
     const double targetLimit = m_limit * gradient + std::sqrt(m_limit);
     m_limit = std::clamp(m_limit + limitSmoothing * (targetLimit - m_limit), 1.0, m_slots);
 }
--- a/src/Queueing/ConcurrencyLimit.h
+++ b/src/Queueing/ConcurrencyLimit.h
@@ -13,8 +13,8 @@
 
 namespace robinrun {
 
-/// \brief The ways to bound the calls that run on a backend server at once. The middle ones are kept as
-/// baselines to measure against.
+/// \brief How the number of calls that run on a backend server at once is limited. Gradient and Aimd are
+/// baselines for benchmarks.
 enum class ConcurrencyLimitKind {
     Fixed,
     Gradient,
@@ -28,10 +28,10 @@
         "stepwise" };
 };
 
-/// \brief A share of the slots that never changes.
+/// \brief A constant share of the slots.
 class FixedLimit {
 public:
-    /// \param share of the slots, in (0, 1].
+    /// \param share of \a slots to use, in (0, 1]; at least one slot is used.
     FixedLimit(std::uint32_t slots, double share);
 
     std::uint32_t limit() const { return m_limit; }
@@ -41,8 +41,8 @@
     std::uint32_t m_limit;
 };
 
-/// \brief Follows the gradient of work time, as TCP Vegas does: the limit shrinks by the ratio of the
-/// long-term to the present work time, and grows by the square root of itself.
+/// \brief Follows the gradient of the work time, as TCP Vegas does: the limit shrinks by the ratio of the
+/// long-term to the short-term mean work time, and grows by its own square root.
 class GradientLimit {
 public:
     explicit GradientLimit(std::uint32_t slots);
@@ -57,7 +57,8 @@
     Ewma m_longTermWorkSeconds;
 };
 
-/// \brief Additive increase while calls at the limit end in time, multiplicative decrease when one is late.
+/// \brief Additive increase while calls that start at the limit end in time, multiplicative decrease when a
+/// call is late.
 class AimdLimit {
 public:
     explicit AimdLimit(std::uint32_t slots);
@@ -70,18 +71,19 @@
     double m_limit;
 };
 
-/// \brief A way to bound concurrency, with its state.
+/// \brief A concurrency limit with its state.
 using ConcurrencyLimit = std::variant<FixedLimit, GradientLimit, AimdLimit, LearntLimit, StepwiseLimit>;
 
-/// \returns whether \a limit learns from runs during which the server told of a slow-down, too: long runs
-/// meet more of these, so that without them calls seem to take less long beside more of them than they do.
+/// \returns whether \a limit also takes samples of runs during which the server reported a slowdown. Long
+/// runs meet a slowdown more often, so leaving these runs out makes the work time at high concurrency look
+/// shorter than it is.
 inline bool learnsFromSlowedRuns(const ConcurrencyLimit& limit)
 {
     return std::holds_alternative<StepwiseLimit>(limit);
 }
 
-/// \returns the limit of \a kind for a backend server.
-/// \param slots of the server; 0 if they are not known yet: then one call runs at a time.
+/// \returns a limit of \a kind for a backend server.
+/// \param slots of the server; 0 if unknown, then one call runs at a time.
 /// \param share of the slots, for FixedLimit and StepwiseLimit.
 ConcurrencyLimit makeConcurrencyLimit(ConcurrencyLimitKind kind, std::uint32_t slots, double share);
 
--- a/src/Queueing/FairQueue.cpp
+++ b/src/Queueing/FairQueue.cpp
@@ -12,12 +12,12 @@
     : m_limit(limit)
     , m_maxSlotTimeElsewhere(maxSlotTimeElsewhere)
 {
-    require(limit > 0, "FairQueue: limit above 0");
+    require(limit > 0, "FairQueue: limit must be above 0");
 }
 
 void FairQueue::setLimit(std::size_t limit)
 {
-    require(limit > 0, "FairQueue::setLimit: limit above 0");
+    require(limit > 0, "FairQueue::setLimit: limit must be above 0");
     m_limit = limit;
 }
 
@@ -34,7 +34,7 @@
 
 void FairQueue::setGroupWeight(std::uint32_t group, double weight)
 {
-    require(weight > 0, "FairQueue::setWeight: weight above 0");
+    require(weight > 0, "FairQueue::setGroupWeight: weight must be above 0");
     auto& flow = m_flows[group];
     if (flow.waitingCalls)
         m_backloggedWeight += weight - flow.weight;
@@ -147,7 +147,8 @@
     const auto [startTag, group] = *m_backlogs.begin()->second.groupsByTag.begin();
     m_virtualTime = std::max(m_virtualTime, startTag);
     auto& flow = m_flows.at(group);
-    const auto level = flow.lanes.begin()->first; // its lowest rank is the lowest of all
+    const auto level = flow.lanes.begin()
+                           ->first; // the group was found in the lowest rank, so its first lane has that rank
     const auto call = removeCall(group, flow, level, 0);
     chargeSlotTime(group, flow, toSeconds(call.expectedSlotTime));
     return call;
--- a/src/Queueing/LearntLimit.cpp
+++ b/src/Queueing/LearntLimit.cpp
@@ -8,52 +8,59 @@
 namespace robinrun {
 namespace {
 
-    // Figures in calls unless they say otherwise. Those that were varied give what the others gave on the
-    // loads of bench/limits, as the mean part of the best fixed limit's calls in time; the rest are round
-    // figures.
+    // Units are calls unless stated otherwise. Scores in the comments are calls in time as a share of those
+    // with the best fixed limit, mean over the loads of bench/limits; other values of a constant are compared
+    // with the value used.
 
-    /// Limits that are told apart; with more slots, some of them share one.
+    /// Maximum number of levels. With more slots than levels, several numbers of running calls share a level.
     constexpr std::size_t maxLevels = 24;
-    /// Share of the slots at the start: a quarter in reserve for servers that slow down when close to full.
-    /// 0.65: 0.883 for 0.888.
+    /// Initial limit as a share of the slots. A quarter is left free for servers that slow down when nearly
+    /// all slots are in use. A share of 0.65 scores 0.883 instead of 0.888.
     constexpr double initialSlotShare = 0.75;
-    /// So many calls say enough of a level to go beyond it: with work that varies by a third, a tenth more
-    /// work is one standard error.
+    /// Samples required at a level before the limit goes beyond it. With work times that vary by a third, the
+    /// standard error of the mean of 12 samples is a tenth.
     constexpr double minCallsPerLevel = 12;
-    /// The limit is chosen anew after so many calls.
+    /// The limit is chosen again after this many calls.
     constexpr std::uint32_t callsPerChoice = 4;
-    /// A call counts for 1/e after so many others: half a minute to some minutes under load.
+    /// The weight of a sample decays to 1/e over this many calls, which takes from half a minute to a few
+    /// minutes under load.
     constexpr double decayCalls = 1500;
-    /// The curve is a mean of so many calls at a level.
+    /// Maximum number of samples in the moving mean of a level.
     constexpr double levelMeanCalls = 100;
-    /// What is slow just now is judged by so many calls. 12, 30, 80: 0.874, 0.882, 0.882 for 0.883.
+    /// Number of samples in the moving mean of the current slowdown. 12, 30 and 80 samples score 0.874, 0.882
+    /// and 0.882 instead of 0.883.
     constexpr double currentSlowdownMeanCalls = 60;
-    /// What lasts for more calls than this is no matter of the present: it is due to the level. 120: 0.881
-    /// for 0.883; without it a knee is climbed past under load that always fills the limit.
+    /// The current slowdown decays over this many calls, so that a lasting slowdown is attributed to the
+    /// level. 120 calls score 0.881 instead of 0.883. Without the decay the limit rises past a knee under a
+    /// load that always fills it.
     constexpr double currentSlowdownDecayCalls = 300;
-    /// The usual work of a class is a mean of so many calls: it must not follow the curve.
+    /// Maximum number of samples in the moving mean of a class. It is long so that the mean does not follow
+    /// the curve.
     constexpr double classMeanCalls = 1000;
-    /// What is unexplained counts up to this logarithm, a factor of 2.7: some calls end at once or hang for
-    /// other reasons.
+    /// Residuals are clamped to this logarithm, a factor of 2.7, because some calls end at once or hang for
+    /// unrelated reasons.
     constexpr double maxLogResidual = 1;
     constexpr double varianceSampleWeight = 0.02;
-    /// Of the logarithm of the work, until it is known: a spread of 0.4, a third and what is slow untold.
+    /// Initial variance of the log work time: a standard deviation of 0.4, made up of a third for the work
+    /// itself and the rest for slowdowns that the server does not report.
     constexpr double initialResidualVariance = 0.16;
-    /// Bound of the curve, in standard errors. 1: limits stay past a knee.
+    /// Distance of the lower confidence bound from the fitted curve, in standard errors. With 1 standard
+    /// error the limit stays above a knee.
     constexpr double boundStandardErrors = 0.5;
-    /// Each level is taken to have seen so many calls of the usual length: one that saw none would have no
-    /// bound.
+    /// Weight of a prior sample with the mean work ratio at each level, because a level without samples would
+    /// have no bound.
     constexpr double priorCalls = 0.5;
-    /// An answer that is late is worth next to nothing; it tells which way is better where all are late.
+    /// Value of a late answer compared with one in time. It is above 0 so that levels can be compared when
+    /// all answers are late.
     constexpr double lateCallValue = 0.1;
-    /// Where fewer calls than this part are in time, fewer at once are tried, each time so many of those
-    /// before.
+    /// If the share of calls in time at the best level is below minShareInTime, lower levels are tried, each
+    /// stepDownFactor times the one before.
     constexpr double minShareInTime = 0.5;
     constexpr double stepDownFactor = 0.7;
-    /// Bins of the slack: from this logarithm on, each so wide.
+    /// Lower edge of the first bin of the slack histogram and width of each bin, as natural logarithms.
     constexpr double lowestLogSlack = -1;
     constexpr double slackBinWidth = 0.1;
-    constexpr Duration minWorkTime = 100us; ///< shorter ones are not told apart
+    constexpr Duration minWorkTime = 100us; ///< shorter work times count as this
 
 } // namespace
 
@@ -63,7 +70,7 @@
     , m_currentLevel(0)
     , m_residualVariance(initialResidualVariance)
 {
-    require(slots > 0, "LearntLimit: there are slots");
+    require(slots > 0, "LearntLimit: slots must be above 0");
     const auto start = static_cast<std::size_t>(initialSlotShare * static_cast<double>(m_levels.size()));
     m_currentLevel = std::max<std::size_t>(start, 1) - 1;
 }
@@ -97,7 +104,7 @@
     const auto level = levelAtConcurrency(sample.concurrency);
     auto& it = m_levels[level];
     const double residual = addToClassMean(sample, level);
-    // One that ran out of time shows only that it takes at least so long.
+    // A call that timed out gives only a lower bound of its work time.
     if (sample.outcome == SampleOutcome::Answered || residual > 0) {
         for (auto& other : m_levels)
             other.decayedCalls *= 1 - 1 / decayCalls;
@@ -153,8 +160,8 @@
 
 void LearntLimit::fitLowerBounds()
 {
-    // Pool adjacent violators: levels at which calls seem to take less long than at a lower one share their
-    // mean.
+    // Pool adjacent violators: a level with a lower work ratio than the level below is merged with it, and
+    // both get their weighted mean.
     struct Block {
         double decayedCalls;
         double logWorkRatio;
--- a/src/Queueing/LearntLimit.h
+++ b/src/Queueing/LearntLimit.h
@@ -11,26 +11,28 @@
 
 namespace robinrun {
 
-/// \brief Finds how many calls a backend server should run at once: as many as get the most done in time.
+/// \brief Finds the number of concurrent calls at which a backend server answers the most calls in time.
 ///
-/// Some servers slow down when close to full, others don't, and the best limit may lie before that
-/// point, beyond it or at all slots. So no rise of work time is a reason by itself. What is learnt is a
-/// curve: by how much calls take longer that start beside so many others. Each call gives one sample. A
-/// server on a shared host is slow for some time whatever runs on it, and then more calls run on it as well;
-/// so a call is compared with those that ended shortly before it, not with all. The curve never falls
-/// (isotonic regression).
+/// Some servers slow down when nearly all slots are in use, others don't. The best limit may lie below the
+/// knee of the work time, above it, or at all slots, so a longer work time alone is no reason to lower the
+/// limit. The class learns a curve: the logarithm of the factor by which work takes longer, as a function of
+/// the concurrency at the start of a call. Each call gives one sample. A server on a shared host has slow
+/// periods that don't depend on its own load, and during these more calls run at once. Therefore a call is
+/// compared with the calls that ended shortly before it, not with all calls. The curve is fitted to be
+/// non-decreasing (isotonic regression).
 ///
-/// The limit is the one with the most calls in time, by the lower bound of the curve: limit / work x share of
-/// calls that would be in time with that work. Beyond what was seen the curve is taken for flat, and the
-/// limit goes up one step at a time until that is disproved. What was seen counts less with each call, so
-/// that a curve that has changed is found. Nothing changes while no calls run.
+/// The limit chosen has the most calls in time, computed from a lower confidence bound of the curve: limit /
+/// work time x share of the calls that would end in time with that work time. Beyond the highest level with
+/// enough samples the curve is assumed to be flat, and the limit rises one level at a time until samples
+/// contradict that. Old samples decay with each new call, so that a changed curve is found. The state does
+/// not change while no calls run.
 ///
-/// What it buys, in calls answered in time as a part of those with the best fixed limit of the same load,
-/// mean of 392 loads in virtual time (bench/limits): 0.88, where 0.8 of the slots gives 0.78, a gradient of
-/// work time 0.76 and additive increase 0.76. Where the best share is known beforehand it costs 1.5 to 3.5 %.
+/// Compared with the best fixed limit for the same load, the share of calls answered in time is 0.88 (mean of
+/// 392 loads in virtual time, bench/limits). A fixed limit of 0.8 of the slots gives 0.78, GradientLimit 0.76
+/// and AimdLimit 0.76. If the best limit is known in advance, learning it costs 1.5 to 3.5 % of these calls.
 ///
-/// Caveat: a server that slows all its running calls at once when one more starts is seen less well than one
-/// that slows those which start then. Cost: O(levels + bins) a call; about 1 KB.
+/// Caveat: a server that slows down all running calls when one more starts is modelled less accurately than a
+/// server that slows down only the calls that start then. Cost: O(levels + bins) per call; about 1 KB.
 class LearntLimit {
 public:
     /// \param slots of the backend server, at least 1.
@@ -38,32 +40,35 @@
 
     std::uint32_t limit() const { return limitAtLevel(m_currentLevel); }
 
-    /// \brief A call has ended; not those that failed before their time.
+    /// \brief Learns from a call that was answered or timed out. Calls that failed earlier are not passed.
     void addSample(const RunSample& sample);
 
 private:
     struct Level {
-        double decayedCalls = 0; ///< calls that started there, older ones counting less
-        double logWorkRatio = 0; ///< natural logarithm of the factor by which they take longer
-        double logWorkRatioBound = 0; ///< lower bound of the fitted factor's logarithm
+        double decayedCalls = 0; ///< calls that started at this level, older calls weighted less
+        double logWorkRatio
+            = 0; ///< natural logarithm of the work time of these calls over the usual one of their class
+        double logWorkRatioBound = 0; ///< lower confidence bound of the fitted `logWorkRatio`
     };
     struct ClassWork {
         double calls = 0;
-        double meanLogWork = 0; ///< logarithm of seconds
+        double meanLogWork = 0; ///< mean of the natural logarithm of the work time in seconds
     };
-    /// Calls by the logarithm of the factor by which they could have taken longer and still be in time.
+    /// Bins of the slack histogram. The slack of a call is the logarithm of the factor by which its work
+    /// could take longer with the answer still in time.
     static constexpr std::size_t slackBinCount = 40;
 
     std::uint32_t limitAtLevel(std::size_t level) const;
     std::size_t levelAtConcurrency(std::uint32_t concurrency) const;
-    /// \returns the logarithm of the work less what is due to its class, the time and \a level.
+    /// \brief Adds a sample to the mean of its class.
+    /// \returns the part of the log work time that class, current slowdown and \a level don't explain.
     double addToClassMean(const RunSample& sample, std::size_t level);
     void addSlack(const RunSample& sample, double logWorkRatio);
     double shareInTime(double logWorkRatio) const;
     double meanLogWorkRatio() const;
     void fitLowerBounds();
-    /// \returns a level below that is to be tried because most calls are late at \a level; nothing if none
-    /// is.
+    /// \returns a lower level without enough samples to try, if most calls would be late at \a level;
+    /// otherwise nothing.
     std::optional<std::size_t> unexploredLevelBelow(std::size_t level) const;
     void chooseLevel();
 
@@ -71,8 +76,8 @@
     std::vector<Level> m_levels;
     std::size_t m_currentLevel;
     std::unordered_map<std::uint32_t, ClassWork> m_workByClass;
-    double m_currentLogSlowdown = 0; ///< logarithm of how much longer calls take just now
-    double m_residualVariance; ///< of what is unexplained
+    double m_currentLogSlowdown = 0; ///< log of the factor by which calls of any level currently take longer
+    double m_residualVariance; ///< variance of the value that addToClassMean() returns
     std::array<double, slackBinCount> m_slackHistogram {};
     std::uint32_t m_callsSinceChoice = 0;
 };
--- a/src/Queueing/Refusal.h
+++ b/src/Queueing/Refusal.h
@@ -7,9 +7,9 @@
 
 namespace robinrun {
 
-/// \brief Why a call was not run, or why its outcome is not known.
+/// \brief Why a call was not run, or why its outcome is unknown.
 ///
-/// The order is part of the wire format: append only.
+/// The numeric values are part of the wire format: new enumerators are only appended.
 enum class Reason {
     None,
     QueueFull,
@@ -33,16 +33,16 @@
     BackendFailed,
     Damaged,
     TooManyTickets,
-    WouldBeLate, ///< the answer would come after its target latency
-    BackendRefused, ///< the backend server says that it did not run it
+    WouldBeLate, ///< the answer would arrive after the target latency of the call
+    BackendRefused, ///< the backend server reports that it did not run the call
     NotReady, ///< the node has no configuration yet
-    Busy, ///< asked to run it at once or not at all, the owner has no slot free or is slowed down
-    GivenUpMeanwhile, ///< it waited while the owner stood still, longer than its sender keeps a silent link
-    CrashesServers, ///< backend servers have crashed under the same request; it is held back
-    WarmingUp, ///< cold backend servers bear so few calls that this one would come too late
-    EntryWithheld, ///< the entry of its route or group in the configuration could not be read whole
-    CredentialUnproven, ///< a newer configuration may say otherwise of the credential
-    OverRate, ///< its group has made as many calls as it may
+    Busy, ///< the call was to run at once or not at all, and the owner has no free slot or a slow server
+    GivenUpMeanwhile, ///< the owner was suspended for longer than the sender keeps a silent connection open
+    CrashesServers, ///< backend servers crashed while running the same request, so it is held back
+    WarmingUp, ///< the pacing of cold backend servers would start the call too late
+    EntryWithheld, ///< the configuration entry of its route or group could not be read completely
+    CredentialUnproven, ///< a newer configuration may judge the credential differently
+    OverRate, ///< the group has reached its rate limit
 };
 
 template <> struct EnumNames<Reason> {
@@ -55,11 +55,11 @@
         "over-rate" };
 };
 
-/// \brief A waiting call that the owner gives up on, before it was handed to the backend server.
+/// \brief A call that the owner refuses before it was sent to the backend server.
 struct Refusal {
     std::uint64_t id = 0;
     Reason reason = Reason::None;
-    Duration retryAfter {}; ///< when asking again makes sense
+    Duration retryAfter {}; ///< how long the caller should wait before it retries
 };
 
 } // namespace robinrun
--- a/src/Queueing/RunSample.h
+++ b/src/Queueing/RunSample.h
@@ -6,19 +6,19 @@
 
 namespace robinrun {
 
-/// \brief What became of a call that ran, for what is learnt from it.
+/// \brief How a run ended, for the concurrency limits that learn from it.
 enum class SampleOutcome {
     Answered,
-    TimedOut, ///< no answer by its deadline: it takes longer than it ran
+    TimedOut, ///< no answer by its deadline; its run time is a lower bound of the work time
 };
 
-/// \brief What a call that ran tells about the number of calls that ran beside it.
+/// \brief A sample of the work time of a call at a given concurrency.
 struct RunSample {
     std::uint32_t callClass = 0;
-    std::uint32_t concurrency = 0; ///< calls that ran when it started, with it; at least 1
-    std::uint32_t limitAtStart = 0; ///< when it started
-    Duration workTime {}; ///< as long as it would have taken without the slow-down that the server told
-    Duration timeToSoftDeadline {}; ///< time that it had at its start to be in time; Duration::max(): any is
+    std::uint32_t concurrency = 0; ///< calls running when it started, including this one; at least 1
+    std::uint32_t limitAtStart = 0; ///< concurrency limit when it started
+    Duration workTime {}; ///< run time without the slowdown that the server reported
+    Duration timeToSoftDeadline {}; ///< from its start to its soft deadline; Duration::max(): none
     SampleOutcome outcome = SampleOutcome::Answered;
 };
 
--- a/src/Queueing/SlotTimeEstimate.cpp
+++ b/src/Queueing/SlotTimeEstimate.cpp
@@ -9,9 +9,9 @@
 
     constexpr double sampleWeight = 0.05;
 
-    /// Running calls are, on average, half way through: their mean elapsed time is about half the slot time
-    /// when all is steady, and more when calls vary in length. Beyond this multiple of the mean they mean
-    /// slowness.
+    /// In a steady state running calls are half done on average, so their mean elapsed time is about half of
+    /// the mean slot time, and more if slot times vary. An elapsed time beyond this multiple of the mean slot
+    /// time indicates a slowdown.
     constexpr double steadyElapsedRatio = 1.0;
 
 } // namespace
@@ -34,7 +34,7 @@
 Duration SlotTimeEstimate::onRunEnded(std::uint64_t id, std::uint32_t callClass, Instant now)
 {
     const auto it = m_runningCalls.find(id);
-    require(it != m_runningCalls.end(), "SlotTimeEstimate::ended: the call was started");
+    require(it != m_runningCalls.end(), "SlotTimeEstimate::onRunEnded: the call must have been started");
     const Duration held = now - it->second.startTime;
     m_estimateByClass[callClass].addSample(held, it->second.slowdown);
     m_startTimeSumSeconds -= toSeconds(it->second.startTime - m_timeOrigin);
--- a/src/Queueing/SlotTimeEstimate.h
+++ b/src/Queueing/SlotTimeEstimate.h
@@ -11,14 +11,14 @@
 
 namespace robinrun {
 
-/// \brief How long calls hold a slot, now: from calls that ended and from those still running.
+/// \brief Estimates how long calls currently hold a slot, from ended and from running calls.
 ///
-/// The mean of ended calls lags a sudden slow-down by a whole slow call. Running calls tell sooner: when the
-/// oldest of them have run far longer than the mean, the estimate follows their elapsed time.
-/// Cost: start and end O(log running); reading O(1).
+/// The mean of ended calls lags behind a sudden slowdown by one slow call. Running calls show it earlier:
+/// once their mean elapsed time exceeds the mean of ended calls, the estimate follows the elapsed time. Cost:
+/// O(1) on average per start, end and reading.
 class SlotTimeEstimate {
 public:
-    /// \param initial estimate before any call has ended.
+    /// \param initial estimate used before any call has ended.
     explicit SlotTimeEstimate(Duration initial);
 
     void onRunStarted(std::uint64_t id, Instant now);
@@ -26,17 +26,18 @@
     /// \returns how long the call held its slot.
     Duration onRunEnded(std::uint64_t id, std::uint32_t callClass, Instant now);
 
-    /// \brief The backend server says that work takes \a factor times as long as usual from now on.
+    /// \brief Records that, as the backend server reports, work takes \a factor times as long as usual from
+    /// now on.
     void setSlowdown(double factor) { m_slowdown = factor; }
     double slowdown() const { return m_slowdown; }
 
-    /// \returns expected slot time of a new call of \a callClass.
+    /// \returns the expected slot time of a new call of \a callClass.
     Duration expectedSlotTime(std::uint32_t callClass) const;
 
-    /// \returns the mean slot time of ended calls, over all classes.
+    /// \returns the mean slot time of ended calls of all classes.
     Duration mean() const { return fromSeconds(m_meanSeconds.value()); }
 
-    /// \returns the mean slot time over all classes, raised by calls that run long. \param now the present.
+    /// \returns the larger of mean() and the mean elapsed time of the calls running at \a now.
     Duration meanIncludingRunning(Instant now) const;
 
     std::size_t runningCount() const { return m_runningCalls.size(); }
--- a/src/Queueing/Slowdown.h
+++ b/src/Queueing/Slowdown.h
@@ -2,12 +2,13 @@
 
 namespace robinrun {
 
-/// \returns whether a factor by which work takes longer, as a backend server tells it, is more than chance.
-/// Half again as long is: calm servers of the users' machines tell 1.0, slowed ones 4.0.
+/// \returns whether \a slowdown, the factor by which work takes longer as reported by a backend server, is
+/// beyond random variation. The threshold is 1.5: on the users' machines servers report 1.0 when calm and 4.0
+/// when slowed down.
 constexpr bool isSlow(double slowdown)
 {
-    constexpr double slowFrom = 1.5;
-    return slowdown >= slowFrom;
+    constexpr double minSlowFactor = 1.5;
+    return slowdown >= minSlowFactor;
 }
 
 } // namespace robinrun
--- a/src/Queueing/SojournControl.cpp
+++ b/src/Queueing/SojournControl.cpp
@@ -32,7 +32,7 @@
     }
     if (!m_isRefusing) {
         m_isRefusing = true;
-        // A queue that stood a moment ago is taken up near the rate that moved it then.
+        // If refusals ended less than eight intervals ago, they resume near the rate that cleared the queue.
         const bool hasRefusedRecently = m_refusalCount > 2 && now - m_nextRefusal < 8 * options.interval;
         m_refusalCount = hasRefusedRecently ? m_refusalCount - 2 : 1;
         m_nextRefusal = nextRefusalAfter(options, now);
--- a/src/Queueing/SojournControl.h
+++ b/src/Queueing/SojournControl.h
@@ -4,11 +4,12 @@
 
 namespace robinrun {
 
-/// \brief Keeps one queue from standing: controlled delay (CoDel, RFC 8289), in time spent waiting.
+/// \brief Prevents a standing queue by controlled delay (CoDel, RFC 8289) of the sojourn time.
 ///
-/// A queue that drains now and then is a burst and is left alone; one whose calls have all waited longer than
-/// `target` for a whole `interval` stands, and calls at its head are refused at a growing rate until it
-/// moves. Cost: O(1) a call.
+/// A queue whose sojourn time falls below `target` at least once per `interval` holds a burst, and no call is
+/// refused. If every call of a whole `interval` has waited longer than `target`, the queue is a standing
+/// queue: calls at its head are refused at a growing rate until the sojourn time falls below `target`. Cost:
+/// O(1) per call.
 class SojournControl {
 public:
     struct Options {
@@ -16,11 +17,11 @@
         Duration interval = 500ms;
     };
 
-    /// \brief Judges the call at the head as it is taken.
-    /// \param options as they are now: they may follow the service time.
-    /// \param sojourn how long it has waited.
-    /// \param isLast whether no other call waits behind it: the last one is never refused.
-    /// \returns whether to refuse it.
+    /// \brief Decides whether to refuse the call taken from the head of the queue.
+    /// \param options current target and interval; they may change with the slot time.
+    /// \param sojourn how long the call has waited.
+    /// \param isLast whether no call waits behind this one; the last call is never refused.
+    /// \returns whether to refuse the call.
     bool shouldRefuse(const Options& options, Duration sojourn, bool isLast, Instant now);
 
 private:
--- a/src/Queueing/StepwiseLimit.cpp
+++ b/src/Queueing/StepwiseLimit.cpp
@@ -8,28 +8,29 @@
 namespace robinrun {
 namespace {
 
-    /// So many calls at the limit make a step worthwhile, and tell what is usual.
+    /// Calls at the limit before a trial step: they show that the load fills the limit and give the usual
+    /// work time.
     constexpr std::uint32_t callsBeforeStep = 16;
-    /// A server that slows down makes calls take longer by this factor.
+    /// Factor by which calls beyond a knee are assumed to take longer.
     constexpr double kneeWorkRatio = 1.6;
-    /// Logarithm of the odds at which a step is decided.
+    /// Absolute log odds at which a trial step is accepted or rejected.
     constexpr double decisionLogOdds = 7;
-    /// No single call counts for more of it, however little the work varies otherwise.
+    /// Maximum contribution of one call to the log odds, even if the work time varies little.
     constexpr double maxLogOddsPerCall = 1.5;
-    /// A class is judged by its usual work once so many of its calls tell it.
+    /// Calls of a class required before its mean is used in the test.
     constexpr double minCallsForClassMean = 8;
-    /// Single calls count up to this logarithm, a factor of 2.7: some hang, or end at once.
+    /// Residuals are clamped to this logarithm, a factor of 2.7, because some calls hang or end at once.
     constexpr double maxLogResidual = 1;
-    /// The usual work of a class is a mean of so many calls.
+    /// Maximum number of samples in the moving mean of a class.
     constexpr double classMeanCalls = 200;
-    /// Of the logarithm of the work, until it is known: a spread of 0.4. It is never taken for less than 0.2.
+    /// Initial and minimum variance of the log work time: standard deviations of 0.4 and 0.2.
     constexpr double initialLogWorkVariance = 0.16;
     constexpr double minLogWorkVariance = 0.04;
     constexpr double varianceSampleWeight = 0.02;
-    /// A step that was taken back is tried again after so many calls, then after twice as many each time.
+    /// Calls before a rejected step is tried again. The number doubles with each rejection up to the maximum.
     constexpr std::uint32_t minBackoffCalls = 8192;
     constexpr std::uint32_t maxBackoffCalls = 65536;
-    constexpr Duration minWorkTime = 100us; ///< shorter ones are not told apart
+    constexpr Duration minWorkTime = 100us; ///< shorter work times count as this
 
 } // namespace
 
@@ -39,7 +40,7 @@
     , m_logWorkVariance(initialLogWorkVariance)
     , m_callsBeforeNextStep(callsBeforeStep)
 {
-    require(slots > 0, "StepwiseLimit: there are slots");
+    require(slots > 0, "StepwiseLimit: slots must be above 0");
 }
 
 void StepwiseLimit::addSample(const RunSample& sample)
@@ -53,7 +54,8 @@
             startTrialStep();
         return;
     }
-    // Of calls that started together the short ones end first, so a first round of them says too little.
+    // Of the calls that start together the short ones end first, so the first calls to end at the trial step
+    // are not representative and are ignored.
     if (!m_isTrialStep || m_callsToSkip) {
         m_callsToSkip -= m_callsToSkip ? 1 : 0;
         return;
--- a/src/Queueing/WarmUp.h
+++ b/src/Queueing/WarmUp.h
@@ -7,22 +7,24 @@
 
 namespace robinrun {
 
-/// \brief What a service says of its cold backend servers, and what the deployment allows on top.
+/// \brief The warm-up settings of a service, adjusted by the settings of the deployment.
 struct WarmUpSettings {
-    Duration duration {}; ///< from a start until the server is warm; 0: the service doesn't say
-    WarmUpRateLimit rateLimit; ///< on calls to one cold server
+    Duration duration {}; ///< from the server's start until it is warm; 0: the service states none
+    WarmUpRateLimit rateLimit; ///< of calls to one cold server
 };
 
-/// \brief Whether the backend server beside this node is cold, and which calls it may get while it is.
+/// \brief Tracks whether the backend server beside this node is cold and paces calls to it while it is.
 ///
-/// A cold server that gets more than it bears falls over and starts again, cold: without a pace, six servers
-/// that came back together fell 30 times in 16 s and served 0.58 of their calls' worth; that is what the
-/// pace protects. Servers tell how long they stay cold in announcements and in health answers. They may turn
-/// cold at any moment, so after all that a node did not see (its own start, a standstill, a hall that was
-/// emptied) a server counts as cold until an answer to a question of later says otherwise.
+/// A cold server that receives more calls than it can handle crashes and restarts cold. Without pacing, six
+/// servers that came back together crashed 30 times in 16 s and served 0.58 of the value of their calls.
 ///
-/// Starts of calls are kept while the server is warm, too: those count in the second in which it turns cold.
-/// No I/O; the present time is an argument. Cost: O(1).
+/// Servers report how long they stay cold in announcements and in health answers. A server can turn cold
+/// without the node noticing: before the node started, while the node was suspended, or while the node's data
+/// hall was emptied. After such an event the server counts as cold until a health request sent later is
+/// answered otherwise.
+///
+/// Start times of calls are recorded while the server is warm, too, because they count towards the limit of
+/// the second in which it turns cold. Does no I/O; the current time is a parameter. Cost: O(1).
 class WarmUp {
 public:
     explicit WarmUp(WarmUpPacerKind kind = WarmUpPacerKind::Smooth)
@@ -31,36 +33,40 @@
     {
     }
 
-    /// \brief Changes how calls are paced; starts that were noted stay noted.
+    /// \brief Changes how calls are paced. Recorded start times are kept.
     void setPacerKind(WarmUpPacerKind kind);
 
-    /// \brief The service says otherwise than before. What is known of the server stays.
+    /// \brief Changes the settings of the service. The known state of the server is kept.
     void setSettings(const WarmUpSettings& settings) { m_settings = settings; }
 
-    /// \brief An announcement says that the server is cold for \a left. That it is warm ends no doubt: it may
-    /// have been sent before the doubt arose.
+    /// \brief Handles an announcement that the server stays cold for \a remaining; zero: it is warm.
+    ///
+    /// An announcement of a warm server doesn't end the uncertain state, since it may have been sent before
+    /// that state began.
     void onAnnouncement(Duration remaining, Instant now);
 
-    /// \brief The answer to a question asked at \a asked says that the server is cold for \a left.
+    /// \brief Handles the answer to a health request sent at \a askedAt: the server stays cold for \a
+    /// remaining.
     void onHealthAnswer(Duration remaining, Instant askedAt, Instant now);
 
-    /// \brief The server may have turned cold unseen, and a former process beside it may have sent it calls.
+    /// \brief Marks the state as uncertain: the server may have turned cold unnoticed, and a previous process
+    /// of this node may just have sent it calls.
     void markUncertain(Instant now);
 
-    /// \returns whether an answer is wanted: until one comes, the server counts as cold.
+    /// \returns whether the state is uncertain: the server counts as cold until a health request is answered.
     bool isUncertain(Instant now) const { return m_uncertainSince && isCold(now); }
 
     bool isCold(Instant now) const { return now < m_coldUntil; }
-    /// \returns how long the server stays cold; zero if it is warm.
+    /// \returns the time until the server is warm; zero if it is.
     Duration remainingTime(Instant now) const { return std::max(m_coldUntil - now, Duration::zero()); }
-    /// \returns whether calls are paced now.
+    /// \returns whether calls are paced at \a now.
     bool isPaced(Instant now) const { return isCold(now) && m_settings.rateLimit.isKnown(); }
-    /// \returns calls a second while the server is paced; 0 if no bound is known.
+    /// \returns the sustained rate of calls to a cold server; 0 if no limit is known.
     double callsPerSecond() const { return m_settings.rateLimit.callsPerSecond; }
 
-    /// \returns when the next call may start: no later than \a now if one may at once.
+    /// \returns the time at which the next call may start; at most \a now if it may start at once.
     Instant nextStart(Instant now) const;
-    /// \brief A call was handed to the server.
+    /// \brief Records that a call was sent to the server at \a now.
     void onCallStarted(Instant now);
 
 private:
--- a/src/Queueing/WarmUpPacer.h
+++ b/src/Queueing/WarmUpPacer.h
@@ -10,33 +10,33 @@
 
 namespace robinrun {
 
-/// \brief How the calls to a cold backend server are spread over time; all ways keep the same bound.
+/// \brief How calls to a cold backend server are spread over time. All kinds keep to the same rate limit.
 enum class WarmUpPacerKind {
-    Window, ///< at once, up to the bound of any second
-    Smooth, ///< evenly, after a small burst
+    Window, ///< as they arrive, up to the limit of each window
+    Smooth, ///< at even intervals, after a small burst
 };
 
 template <> struct EnumNames<WarmUpPacerKind> {
     static constexpr std::array<std::string_view, 2> names { "window", "smooth" };
 };
 
-/// \brief How many calls a cold backend server bears.
+/// \brief The rate of calls that a cold backend server can handle, as the parameters of a token bucket.
 struct WarmUpRateLimit {
-    double callsPerSecond = 0; ///< in the long run; 0: no bound is known
-    double burstCalls = 0; ///< on top of it, in any second
+    double callsPerSecond = 0; ///< sustained rate; 0: no limit is known
+    double burstCalls = 0; ///< calls beyond the sustained rate in any second
 
     bool isKnown() const { return callsPerSecond > 0; }
-    /// \returns calls in any second at most.
+    /// \returns the maximum number of calls in any window of one second.
     std::size_t maxCallsPerWindow() const { return static_cast<std::size_t>(callsPerSecond + burstCalls); }
 };
 
-/// \brief The calls that were started in the last moments: what any way of pacing has to know.
+/// \brief The start times of the latest calls, which every pacer needs.
 ///
-/// Starts are kept for a little more than a second, as two calls may come closer together on their way to the
-/// server. Cost: O(1) a call; 8 bytes for each start that is kept, `most` of them.
+/// Cost: O(1) per call; 8 bytes for each of the `maxStarts` start times that are kept.
 class StartLog {
 public:
-    /// A second, and by how much starts may draw together on the way to a server on the same host.
+    /// One second, plus 20 ms by which two calls may get closer together on the way to a server on the same
+    /// host.
     static constexpr Duration window = 1020ms;
 
     void addStart(Instant now, std::size_t maxStarts)
@@ -46,7 +46,7 @@
             m_starts.pop_front();
     }
 
-    /// \returns from when on a start leaves at most \a most of them in any window.
+    /// \returns the earliest time at which a start keeps every window at or below \a maxStarts starts.
     Instant earliestStart(std::size_t maxStarts) const
     {
         if (m_starts.size() < maxStarts || m_starts.empty())
@@ -59,8 +59,8 @@
     std::deque<Instant> m_starts;
 };
 
-/// \brief Starts calls as they come until the bound of a second is used up. A burst is served at once, and
-/// then nothing until the second is over.
+/// \brief Starts calls as they arrive until the limit of the window is reached, then none until the window
+/// has passed.
 struct WindowPacer {
     Instant nextStart(const WarmUpRateLimit& rateLimit, const StartLog& log) const
     {
@@ -71,10 +71,12 @@
     Instant exhaustedUntil {};
 };
 
-/// \brief Starts a small burst, then one call each 1 / perSecond: no second is without service, and work
-/// does not pile up at the server. Over any second at most perSecond + burst calls start.
+/// \brief Starts a small burst, then one call every 1 / callsPerSecond seconds (generic cell rate algorithm).
+///
+/// Service never pauses for a whole window and calls don't pile up at the server. At most callsPerSecond +
+/// burstCalls calls start in any second.
 struct SmoothPacer {
-    /// The moment at which the burst would be whole again.
+    /// The time at which a full burst is available again if no more calls start.
     Instant burstRestoredAt {};
 
     Instant nextStart(const WarmUpRateLimit& rateLimit, const StartLog& log) const
@@ -94,8 +96,9 @@
     }
 };
 
-/// \brief A way to pace, with its state. `useUp` takes for granted that another process has just started all
-/// that the bound allows at once.
+/// \brief A pacer with its state.
+///
+/// exhaust() assumes that another process has just started as many calls as the limit allows at once.
 using WarmUpPacer = std::variant<WindowPacer, SmoothPacer>;
 
 inline WarmUpPacer makeWarmUpPacer(WarmUpPacerKind kind)
--- a/src/Queueing/WorkClock.h
+++ b/src/Queueing/WorkClock.h
@@ -7,15 +7,15 @@
 
 namespace robinrun {
 
-/// \brief Counts the work that a backend server gets done on one call: time, but slower while it tells of a
-/// slow-down.
+/// \brief A clock that advances by the work that a backend server does on one call.
 ///
-/// The difference of two readings is the time that the same work would have taken on a calm server. Right
-/// only as far as slow-downs are told, and told soon. Cost: O(1).
+/// It runs slower than real time by the slowdown factor that the server reports, so the difference of two
+/// readings is the time that the same work takes without a slowdown. It is accurate only if the server
+/// reports slowdowns, and does so promptly. Cost: O(1).
 class WorkClock {
 public:
-    /// \brief From \a now on work takes \a slowdown times as long.
-    /// \returns the length of the slow phase that has ended with this; nothing if none has.
+    /// \brief Records that work takes \a slowdown times as long from \a now on; factors below 1 count as 1.
+    /// \returns the duration of the slow phase that this ends; nothing if it ends none.
     std::optional<Duration> setSlowdown(double slowdown, Instant now)
     {
         m_workDone = read(now);
@@ -29,7 +29,7 @@
         return now - m_slowSince;
     }
 
-    /// \returns the work done since the clock began.
+    /// \returns the work done by \a now, as the time that it takes without a slowdown.
     Duration read(Instant now) const
     {
         return m_workDone
--- a/test/LearntLimitTest.cpp
+++ b/test/LearntLimitTest.cpp
@@ -1,7 +1,7 @@
-/// \file Limits on concurrency on the loads that they are meant for: servers that slow down when close to
-/// full, or not at all, beside noise. Figures: a knee in the middle and near the top of the slots, with
-/// factors that make the near side or the far side the better one; work of 100 ms that varies by a third, as
-/// in the users' sheets.
+/// \file Concurrency limits on simulated servers that slow down when nearly all slots are in use, or not at
+/// all, with and without noise. The knee lies in the middle or near the top of the slots. The factor of the
+/// work time beyond it makes either side of the knee the better one. The mean work time is 100 ms with a
+/// variation of a third, as in the users' requirements.
 
 #include "Core/Random.h"
 #include "Queueing/ConcurrencyLimit.h"
@@ -17,36 +17,37 @@
 
 constexpr std::uint32_t slots = 18;
 
-/// A server under a load that always fills the limit, or one that needs `wanted` calls at once.
+/// \brief A server under a load that always fills the limit or offers `offeredConcurrency` calls at once.
 struct Server {
-    double knee = 1;
-    double factor = 1;
-    std::uint32_t wanted = slots;
-    Duration timely = 400ms;
+    double kneeShare = 1; ///< share of the slots beyond which calls take longer
+    double workFactor = 1; ///< by which they take longer
+    std::uint32_t offeredConcurrency = slots;
+    Duration timeToSoftDeadline = 400ms;
     std::uint64_t seed = 1;
-    double noise = 1; ///< factor in a quarter of the phases of 300 ms, which the server doesn't tell
+    double slowPhaseFactor
+        = 1; ///< work factor in a quarter of the phases of 300 ms, which the server does not report
 
-    /// Runs calls for \a length at the limit; \returns the most common limit of the last half.
-    template <class Limit> std::uint32_t run(Limit& limit, Duration length)
+    /// \brief Runs calls for \a length at the limit. \returns the most common limit of the last half.
+    template <class Limit> std::uint32_t findLimit(Limit& limit, Duration length)
     {
-        struct Call {
+        struct RunningCall {
             Instant end;
             RunSample sample;
-            bool operator<(const Call& other) const { return end > other.end; }
+            bool operator<(const RunningCall& other) const { return end > other.end; }
         };
         Random random(seed);
-        std::priority_queue<Call> running;
-        std::vector<std::uint32_t> seen(slots + 1);
+        std::priority_queue<RunningCall> running;
+        std::vector<std::uint32_t> callsByLimit(slots + 1);
         Instant now {};
         while (now < Instant(length)) {
-            while (running.size() < std::min(limit.limit(), wanted)) {
+            while (running.size() < std::min(limit.limit(), offeredConcurrency)) {
                 const auto inUse = static_cast<std::uint32_t>(running.size()) + 1;
                 double work = random.logNormal(0.1, 0.3);
-                if (inUse > knee * slots)
-                    work *= factor;
-                Random phase(seed * 1000 + static_cast<std::uint64_t>(now.time_since_epoch() / 300ms));
-                work *= phase.chance(0.25) ? noise : 1;
-                const RunSample sample { 1, inUse, limit.limit(), fromSeconds(work), timely };
+                if (inUse > kneeShare * slots)
+                    work *= workFactor;
+                Random phaseRandom(seed * 1000 + static_cast<std::uint64_t>(now.time_since_epoch() / 300ms));
+                work *= phaseRandom.chance(0.25) ? slowPhaseFactor : 1;
+                const RunSample sample { 1, inUse, limit.limit(), fromSeconds(work), timeToSoftDeadline };
                 running.push({ now + fromSeconds(work), sample });
             }
             const auto call = running.top();
@@ -54,97 +55,99 @@
             now = call.end;
             limit.addSample(call.sample);
             if (now > Instant(length / 2))
-                ++seen[limit.limit()];
+                ++callsByLimit[limit.limit()];
         }
-        return static_cast<std::uint32_t>(std::max_element(seen.begin(), seen.end()) - seen.begin());
+        return static_cast<std::uint32_t>(
+            std::max_element(callsByLimit.begin(), callsByLimit.end()) - callsByLimit.begin());
     }
 };
 
 } // namespace
 
-TEST_CASE("A learnt limit goes up to all slots where nothing slows down", "[limit]")
+TEST_CASE("LearntLimit rises to all slots if calls don't slow down", "[limit]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         LearntLimit limit(slots);
         Server server;
         server.seed = seed;
-        REQUIRE(server.run(limit, 20s) >= slots - 1);
+        REQUIRE(server.findLimit(limit, 20s) >= slots - 1);
     }
 }
 
-TEST_CASE("A learnt limit stays before a point from which all calls take longer", "[limit]")
+TEST_CASE("LearntLimit stays below a knee beyond which all calls take longer", "[limit]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         LearntLimit limit(slots);
-        Server server { .knee = 0.8, .factor = 1.7, .seed = seed };
-        const auto found = server.run(limit, 20s);
+        Server server { .kneeShare = 0.8, .workFactor = 1.7, .seed = seed };
+        const auto found = server.findLimit(limit, 20s);
         REQUIRE(found >= 13);
         REQUIRE(found <= 14);
     }
 }
 
-TEST_CASE("A learnt limit goes beyond that point where more gets done there", "[limit]")
+TEST_CASE("LearntLimit rises beyond a knee if throughput is higher there", "[limit]")
 {
-    // 6 at once before it; 18 / 1.5 = 12 in the same time beyond it.
+    // Throughput per work time: 6 calls below the knee, 18 / 1.5 = 12 calls beyond it.
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         LearntLimit limit(slots);
-        Server server { .knee = 0.35, .factor = 1.5, .seed = seed };
-        REQUIRE(server.run(limit, 20s) >= slots - 2);
+        Server server { .kneeShare = 0.35, .workFactor = 1.5, .seed = seed };
+        REQUIRE(server.findLimit(limit, 20s) >= slots - 2);
     }
 }
 
-TEST_CASE("A learnt limit comes down where calls beyond the point are late", "[limit]")
+TEST_CASE("LearntLimit falls below a knee beyond which calls are late", "[limit]")
 {
-    // 18 / 3 = 6 get done beyond it, late; 9 before it, in time.
+    // Throughput per work time: 18 / 3 = 6 late calls beyond the knee, 9 calls in time below it.
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         LearntLimit limit(slots);
-        Server server { .knee = 0.5, .factor = 3, .timely = 200ms, .seed = seed };
-        const auto found = server.run(limit, 20s);
+        Server server { .kneeShare = 0.5, .workFactor = 3, .timeToSoftDeadline = 200ms, .seed = seed };
+        const auto found = server.findLimit(limit, 20s);
         REQUIRE(found >= 7);
         REQUIRE(found <= 9);
     }
 }
 
-TEST_CASE("A learnt limit follows a point that moves", "[limit]")
+TEST_CASE("LearntLimit follows a knee that moves", "[limit]")
 {
     LearntLimit limit(slots);
     Server before;
-    REQUIRE(before.run(limit, 20s) >= slots - 1);
-    Server after { .knee = 0.5, .factor = 3, .timely = 200ms, .seed = 2 };
-    const auto found = after.run(limit, 60s);
+    REQUIRE(before.findLimit(limit, 20s) >= slots - 1);
+    Server after { .kneeShare = 0.5, .workFactor = 3, .timeToSoftDeadline = 200ms, .seed = 2 };
+    const auto found = after.findLimit(limit, 60s);
     REQUIRE(found >= 7);
     REQUIRE(found <= 9);
 }
 
-TEST_CASE("A learnt limit does not move while it is not reached", "[limit]")
+TEST_CASE("LearntLimit does not change while the load does not reach it", "[limit]")
 {
     LearntLimit limit(slots);
     const auto start = limit.limit();
-    Server server { .wanted = 5 };
-    REQUIRE(server.run(limit, 20s) == start);
+    Server server { .offeredConcurrency = 5 };
+    REQUIRE(server.findLimit(limit, 20s) == start);
     REQUIRE(limit.limit() == start);
 }
 
-TEST_CASE("Noise that the server does not tell takes no more than three tenths of a learnt limit", "[limit]")
+TEST_CASE("Unreported slow phases lower LearntLimit by at most three tenths of the slots", "[limit]")
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         LearntLimit limit(slots);
-        Server server { .seed = seed, .noise = 4 };
-        REQUIRE(server.run(limit, 20s) >= slots * 7 / 10);
+        Server server { .seed = seed, .slowPhaseFactor = 4 };
+        REQUIRE(server.findLimit(limit, 20s) >= slots * 7 / 10);
     }
 }
 
-TEST_CASE("Calls that end at once teach a learnt limit no more than a third of the usual work", "[limit]")
+TEST_CASE("A call that ends at once does not keep LearntLimit from finding the knee", "[limit]")
 {
     LearntLimit limit(slots);
     limit.addSample({ 1, 1, limit.limit(), 1ms, 400ms });
-    Server server { .knee = 0.8, .factor = 1.7 };
-    const auto found = server.run(limit, 20s);
+    Server server { .kneeShare = 0.8, .workFactor = 1.7 };
+    const auto found = server.findLimit(limit, 20s);
     REQUIRE(found >= 13);
     REQUIRE(found <= 14);
 }
 
-TEST_CASE("A learnt limit is between 1 and the slots, however few they are", "[limit]")
+TEST_CASE("LearntLimit is between 1 and the number of slots and uses all slots when calls don't slow down",
+    "[limit]")
 {
     for (const std::uint32_t n : { 1U, 2U, 3U, 4U, 25U, 200U }) {
         LearntLimit limit(n);
@@ -158,15 +161,17 @@
     REQUIRE_THROWS(LearntLimit(0));
 }
 
-TEST_CASE("The other ways to bound concurrency", "[limit]")
+TEST_CASE("FixedLimit uses its share; GradientLimit and AimdLimit use all slots, and AimdLimit falls to 1 "
+          "for late calls",
+    "[limit]")
 {
     REQUIRE(FixedLimit(18, 0.8).limit() == 14);
     REQUIRE(FixedLimit(1, 0.1).limit() == 1);
     GradientLimit gradient(slots);
-    Server full;
-    REQUIRE(full.run(gradient, 20s) == slots);
+    Server saturated;
+    REQUIRE(saturated.findLimit(gradient, 20s) == slots);
     AimdLimit aimd(slots);
-    REQUIRE(full.run(aimd, 20s) == slots);
-    Server late { .timely = 50ms };
-    REQUIRE(late.run(aimd, 20s) == 1);
+    REQUIRE(saturated.findLimit(aimd, 20s) == slots);
+    Server late { .timeToSoftDeadline = 50ms };
+    REQUIRE(late.findLimit(aimd, 20s) == 1);
 }
