--- a/src/Config/ConfigFollower.h
+++ b/src/Config/ConfigFollower.h
@@ -10,13 +10,14 @@
 
 namespace robinrun {
 
-/// \brief Whether the log can be followed.
+/// \brief Whether and how the configuration log can be followed.
 enum class LogFollowState {
-    NotYetRead, ///< not read since the start
+    NotYetRead, ///< not read since the start of this node
     Followed,
     Unreachable,
-    Diverged, ///< it ends before what is applied here, or is another log: reported, never followed
-    Gap, ///< records were forgotten that are needed, and no snapshot has been found yet
+    Diverged, ///< the log ends before the applied offset, or is a different log; it is reported, never
+              ///< followed
+    Gap, ///< the log has dropped records that are needed, and no usable snapshot has been found yet
 };
 
 template <> struct EnumNames<LogFollowState> {
@@ -24,36 +25,37 @@
         "gap" };
 };
 
-/// \brief Keeps a ConfigState up to date from pages of the log and from records passed on by peers.
+/// \brief Keeps a ConfigState up to date from pages of the log and from records sent by peers.
 ///
-/// It never goes backwards: records below the applied offset are passed over, records beyond the next one
-/// wait for the gap to be filled. After a gap in the log it looks for a snapshot record whose content starts
-/// inside what is kept, and replays from there.
+/// The applied offset never decreases: records below it are skipped, and records beyond the next offset are
+/// not applied before the missing ones. After a gap in the log, the follower searches for a snapshot record
+/// whose state ends at an offset that the log still holds, restores it and replays the log from there.
 class ConfigFollower {
 public:
     enum class Progress {
         None,
         Advanced,
-        NeedsEarlierRecords, ///< the records begin beyond the next one: pull from nextOffset()
+        NeedsEarlierRecords, ///< the records begin beyond nextOffset(): pull from there
     };
 
-    /// \brief Takes what was read from the log at readFrom() on.
+    /// \brief Applies a page that was read from the log at nextReadOffset().
     Progress applyLogPage(const LogPage& page);
 
-    /// \brief The log could not be read.
+    /// \brief Records that the log could not be read.
     void onLogReadFailed();
 
-    /// \brief Takes records from a peer. Records of another log than the one followed are passed over.
+    /// \brief Applies records sent by a peer. Records of a log other than the followed one are ignored.
     Progress applyPeerRecords(const proto::Records& records);
 
     /// \returns the offset to read the log from.
     std::uint64_t nextReadOffset() const;
 
-    /// \returns records from \a from on for a peer, or the whole state where they are no longer held.
+    /// \returns the records from offset \a from on, to send to a peer; a snapshot of the whole state if they
+    /// are no longer in memory.
     proto::Records recordsFrom(std::uint64_t from) const;
 
-    /// \returns whether a snapshot should be appended: half of what the log keeps has passed since the last
-    /// one.
+    /// \returns whether a snapshot record should be appended: 512 records have been applied since the last
+    /// one, or the log has begun to drop records and the last one is not in the newer half of what it holds.
     bool needsSnapshot() const { return m_needsSnapshot; }
 
     const ConfigState& state() const { return m_state; }
@@ -61,16 +63,18 @@
     const std::string& logId() const { return m_logId; }
     LogFollowState logState() const { return m_logState; }
 
-    /// \returns the end of the log when it was last read: beyond nextOffset(), something is missing here.
+    /// \returns the end of the log as last seen. If it is above nextOffset(), this node lacks records.
     std::uint64_t knownLogEnd() const { return m_knownLogEnd; }
 
 private:
-    /// Records held to pass on; older ones are served as a snapshot.
+    /// Records kept in memory to send to peers; a peer that needs older ones gets a snapshot.
     static constexpr std::size_t maxRecentRecords = 256;
-    /// Records after the last snapshot, as a share of what the log keeps, beyond which a new one is due.
+    /// A snapshot is due when this many records have been applied since the last one.
     static constexpr std::uint64_t maxRecordsBetweenSnapshots = 512;
 
     Progress applyRecord(std::uint64_t offset, const std::string& record);
+    /// \brief Handles a page that begins beyond nextOffset(): collects its records until a snapshot among
+    /// them can be restored.
     Progress recoverFromGap(const LogPage& page);
 
     ConfigState m_state;
@@ -78,8 +82,8 @@
     LogFollowState m_logState = LogFollowState::NotYetRead;
     std::uint64_t m_knownLogEnd = 0;
     std::uint64_t m_gapNextReadOffset = 0;
-    std::map<std::uint64_t, std::string> m_recordsAfterGap;
-    std::map<std::uint64_t, std::string> m_recentRecords;
+    std::map<std::uint64_t, std::string> m_recordsAfterGap; ///< by offset; read, but not applied yet
+    std::map<std::uint64_t, std::string> m_recentRecords; ///< by offset; the last records applied
     std::uint64_t m_lastSnapshotOffset = 0;
     bool m_needsSnapshot = false;
 };
--- a/src/Config/ConfigState.cpp
+++ b/src/Config/ConfigState.cpp
@@ -43,7 +43,7 @@
     proto::ChangeRecord change;
     proto::Fate fate;
     if (!change.ParseFromArray(record.data(), static_cast<int>(record.size()))) {
-        fate.set_reason("the record can't be read");
+        fate.set_reason("the record is not a valid ChangeRecord message");
         recordFate(std::move(fate));
         return m_fates.back();
     }
@@ -75,7 +75,7 @@
         m_fateByChangeId.erase(m_fates.front().id());
         m_fates.pop_front();
     }
-    // The first record of an id decides it: a record written twice is refused the second time by its version.
+    // The first record with an id determines its fate: a duplicate of the record is refused for its version.
     m_fateByChangeId.emplace(fate.id(), fate);
     m_fates.push_back(std::move(fate));
 }
--- a/src/Config/Validator.cpp
+++ b/src/Config/Validator.cpp
@@ -11,9 +11,9 @@
 
     constexpr std::size_t maxNameLength = 100;
     constexpr std::size_t sha256HexLength = 64;
-    constexpr unsigned maxSlots = 100000;
+    constexpr unsigned maxSlots = 100000; ///< also bounds the connections of an upstream
     constexpr unsigned maxPort = 65535;
-    constexpr double maxCallsPerSecond = 1e9; // calls a second
+    constexpr double maxCallsPerSecond = 1e9;
 
     bool isValidName(std::string_view name)
     {
@@ -24,7 +24,7 @@
             && std::all_of(name.begin(), name.end(), isAllowed);
     }
 
-    /// \brief Collects errors under a path.
+    /// \brief Checks the fields of resources and collects the errors.
     class ResourceChecker {
     public:
         std::vector<FieldError> errors;
@@ -37,7 +37,7 @@
 
         void checkName(std::string_view name, const std::string& field)
         {
-            check(isValidName(name), field, "must be 1 to 100 of a-z, 0-9, '-', '_', '.'");
+            check(isValidName(name), field, "must be 1 to 100 characters of a-z, 0-9, '-', '_', '.'");
         }
 
         void checkShare(double value, const std::string& field)
@@ -66,9 +66,9 @@
                 const auto path = "service.classes[" + std::to_string(i) + "]";
                 const auto& callClass = it.classes(i);
                 checkName(callClass.name(), path + ".name");
-                check(names.insert(callClass.name()).second, path + ".name", "stands twice");
+                check(names.insert(callClass.name()).second, path + ".name", "must be unique");
                 check(callClass.path_prefix().starts_with("/"), path + ".path_prefix", "must start with '/'");
-                check(proto::OnceMode_IsValid(callClass.once()), path + ".once", "is no known mode");
+                check(proto::OnceMode_IsValid(callClass.once()), path + ".once", "must be a known mode");
             }
         }
 
@@ -81,25 +81,25 @@
             checkName(it.host(), "upstream.host");
             checkName(it.data_hall(), "upstream.data_hall");
             checkName(it.region(), "upstream.region");
-            check(it.slots() > 0 && it.slots() <= maxSlots, "upstream.slots", "must be 1 to 100000");
+            check(it.slots() > 0 && it.slots() <= maxSlots, "upstream.slots", "must be from 1 to 100000");
             check(it.connections() > 0 && it.connections() <= maxSlots, "upstream.connections",
-                "must be 1 to 100000");
+                "must be from 1 to 100000");
         }
 
         void checkRoute(const proto::Route& it)
         {
             check(!it.host().empty() && it.host().find_first_of(": /") == std::string::npos, "route.host",
-                "must be a host without a port");
+                "must be a host name without a port");
             check(it.path_prefix().starts_with("/") && it.path_prefix().ends_with("/"), "route.path_prefix",
                 "must start and end with '/'");
-            check(it.split_size() > 0, "route.split", "must name a service");
+            check(it.split_size() > 0, "route.split", "must name at least one service");
             for (int i = 0; i < it.split_size(); ++i) {
                 const auto path = "route.split[" + std::to_string(i) + "]";
                 checkName(it.split(i).service(), path + ".service");
                 const double weight = it.split(i).weight();
                 check(std::isfinite(weight) && weight >= 0, path + ".weight", "must not be negative");
             }
-            check(proto::OnceMode_IsValid(it.once()), "route.once", "is no known mode");
+            check(proto::OnceMode_IsValid(it.once()), "route.once", "must be a known mode");
             check(it.timeout_ms() > 0, "route.timeout_ms", "must be above 0");
             check(it.target_latency_ms() <= it.timeout_ms(), "route.target_latency_ms",
                 "must not be above timeout_ms");
@@ -112,7 +112,7 @@
         {
             const auto isHex = [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); };
             check(digest.size() == sha256HexLength && std::all_of(digest.begin(), digest.end(), isHex), field,
-                "must be 64 lower-case hex digits");
+                "must be 64 lower-case hexadecimal digits");
         }
 
         void checkGroup(const proto::Group& it)
@@ -122,7 +122,7 @@
             for (int i = 0; i < it.more_credentials_sha256_size(); ++i) {
                 const auto path = "group.more_credentials_sha256[" + std::to_string(i) + "]";
                 checkCredential(it.more_credentials_sha256(i), path);
-                check(digests.insert(it.more_credentials_sha256(i)).second, path, "stands twice");
+                check(digests.insert(it.more_credentials_sha256(i)).second, path, "must be unique");
             }
             checkRate(it.rate_per_s(), "group.rate_per_s");
             checkRate(it.burst(), "group.burst");
@@ -133,7 +133,7 @@
                 const auto path = "group.shares[" + std::to_string(i) + "]";
                 const auto& share = it.shares(i);
                 checkName(share.service(), path + ".service");
-                check(services.insert(share.service()).second, path + ".service", "stands twice");
+                check(services.insert(share.service()).second, path + ".service", "must be unique");
                 check(
                     std::isfinite(share.weight()) && share.weight() > 0, path + ".weight", "must be above 0");
             }
@@ -170,23 +170,23 @@
         checker.checkName(std::string_view(resource.name()).substr(slash + 1), "name");
     switch (resource.body_case()) {
     case proto::Resource::kService:
-        checker.check(hasKind(resource, "services"), "name", "a service is named services/<id>");
+        checker.check(hasKind(resource, "services"), "name", "must be services/<id> for a service");
         checker.checkService(resource.service());
         break;
     case proto::Resource::kUpstream:
-        checker.check(hasKind(resource, "upstreams"), "name", "an upstream is named upstreams/<id>");
+        checker.check(hasKind(resource, "upstreams"), "name", "must be upstreams/<id> for an upstream");
         checker.checkUpstream(resource.upstream());
         break;
     case proto::Resource::kGroup:
-        checker.check(hasKind(resource, "groups"), "name", "a group is named groups/<id>");
+        checker.check(hasKind(resource, "groups"), "name", "must be groups/<id> for a group");
         checker.checkGroup(resource.group());
         break;
     case proto::Resource::kRoute:
-        checker.check(hasKind(resource, "routes"), "name", "a route is named routes/<id>");
+        checker.check(hasKind(resource, "routes"), "name", "must be routes/<id> for a route");
         checker.checkRoute(resource.route());
         break;
     case proto::Resource::kDataHall:
-        checker.check(hasKind(resource, "halls"), "name", "a data hall is named halls/<id>");
+        checker.check(hasKind(resource, "halls"), "name", "must be halls/<id> for a data hall");
         break;
     case proto::Resource::BODY_NOT_SET:
         checker.check(false, "body", "one of service, upstream, group, route, data_hall must be set");
--- a/src/Control/ConfigDisseminator.cpp
+++ b/src/Control/ConfigDisseminator.cpp
@@ -5,7 +5,8 @@
 namespace robinrun {
 namespace {
 
-    /// Roots come and go with the readers; more than this many remembered ones means that most are gone.
+    /// The readers, and with them the tree roots, change over time. Beyond this number most tracked roots are
+    /// former ones, and all are dropped.
     constexpr std::size_t maxTrackedRoots = 64;
 
 } // namespace
@@ -23,19 +24,19 @@
 {
 }
 
-Duration ConfigDisseminator::applyJitter(Duration d)
+Duration ConfigDisseminator::applyJitter(Duration interval)
 {
-    return fromSeconds(toSeconds(d) * (0.5 + m_random.unit()));
+    return fromSeconds(toSeconds(interval) * (0.5 + m_random.unit()));
 }
 
 bool ConfigDisseminator::isReader(const Membership& members, Instant now)
 {
-    std::size_t live = 0;
+    std::size_t liveCount = 0;
     for (const auto& it : m_hallRanking.rankedHosts(members, now)) {
         if (it == m_self.name)
             return true;
-        live += !members.isSuspected(it, now);
-        if (live == m_options.readersPerHall)
+        liveCount += !members.isSuspected(it, now);
+        if (liveCount == m_options.readersPerHall)
             return false;
     }
     return false;
@@ -59,13 +60,13 @@
 }
 
 DisseminationStep ConfigDisseminator::tick(
-    const Membership& members, std::uint64_t nextOffset, bool isLogRead, Instant now)
+    const Membership& members, std::uint64_t nextOffset, bool isLogReadable, Instant now)
 {
     DisseminationStep step;
-    const bool isReading = isReader(members, now);
-    const bool isQuiet = now - m_lastConfirmedAt > m_options.silenceTimeout;
-    step.shouldReadLog = isReading || (isQuiet && m_fallbackReadBudget.tryTake(1, now));
-    if (isReading && isLogRead)
+    const bool isReaderNode = isReader(members, now);
+    const bool isSilent = now - m_lastConfirmedAt > m_options.silenceTimeout;
+    step.shouldReadLog = isReaderNode || (isSilent && m_fallbackReadBudget.tryTake(1, now));
+    if (isReaderNode && isLogReadable)
         m_lastConfirmedAt = now;
     if (now >= m_nextDigestAt) {
         const bool isStarting = !nextOffset || now - m_startTime < m_options.startupPeriod;
@@ -78,48 +79,48 @@
     if (now >= m_nextHostFetchAt) {
         m_nextHostFetchAt = now
             + applyJitter(
-                isReading ? m_options.readerHostFetchInterval : m_options.nonReaderHostFetchInterval);
+                isReaderNode ? m_options.readerHostFetchInterval : m_options.nonReaderHostFetchInterval);
         step.shouldFetchHosts = true;
     }
     return step;
 }
 
-void ConfigDisseminator::appendForwards(const Membership& members, const std::string& node,
-    const RecordForward& what, std::vector<RecordForward>& out, Instant now)
+void ConfigDisseminator::appendForwards(const Membership& members, const std::string& parent,
+    const RecordForward& forward, std::vector<RecordForward>& out, Instant now)
 {
-    const auto& ranks = m_hallRanking.rankedHosts(members, now);
-    for (const auto& it : treeChildren(ranks, what.treeRoot, node, m_options.fanOut)) {
-        // A suspected child may be back and is tried all the same; those below it are served in its place.
-        out.push_back({ it, what.treeRoot, what.fromOffset });
+    const auto& rankedHosts = m_hallRanking.rankedHosts(members, now);
+    for (const auto& it : treeChildren(rankedHosts, forward.treeRoot, parent, m_options.fanOut)) {
+        // A suspected child may have recovered, so it gets the records, too; its children get them directly.
+        out.push_back({ it, forward.treeRoot, forward.fromOffset });
         if (members.isSuspected(it, now))
-            appendForwards(members, it, what, out, now);
+            appendForwards(members, it, forward, out, now);
     }
 }
 
 std::vector<RecordForward> ConfigDisseminator::rerouteAround(
-    const Membership& members, const RecordForward& unreached, Instant now)
+    const Membership& members, const RecordForward& unreachable, Instant now)
 {
     std::vector<RecordForward> out;
-    appendForwards(members, unreached.peer, unreached, out, now);
+    appendForwards(members, unreachable.peer, unreachable, out, now);
     return out;
 }
 
 std::vector<RecordForward> ConfigDisseminator::onOffsetAdvanced(const Membership& members,
-    const std::string& root, std::uint64_t from, std::uint64_t nextOffset, Instant now)
+    const std::string& treeRoot, std::uint64_t fromOffset, std::uint64_t nextOffset, Instant now)
 {
     std::vector<RecordForward> out;
-    const bool isOwn = root.empty() && isReader(members, now);
-    if (root.empty() && !isOwn)
+    const bool isOwnTree = treeRoot.empty() && isReader(members, now);
+    if (treeRoot.empty() && !isOwnTree)
         return out;
-    const auto& tree = isOwn ? m_self.name : root;
+    const auto& outgoingRoot = isOwnTree ? m_self.name : treeRoot;
     if (m_forwardedOffsets.size() > maxTrackedRoots)
         m_forwardedOffsets.clear();
-    auto& passed = m_forwardedOffsets.try_emplace(tree, from).first->second;
-    if (nextOffset <= passed)
+    auto& forwardedOffset = m_forwardedOffsets.try_emplace(outgoingRoot, fromOffset).first->second;
+    if (nextOffset <= forwardedOffset)
         return out;
-    const auto start = std::min(from, passed);
-    passed = nextOffset;
-    appendForwards(members, m_self.name, { {}, tree, start }, out, now);
+    const auto firstOffset = std::min(fromOffset, forwardedOffset);
+    forwardedOffset = nextOffset;
+    appendForwards(members, m_self.name, { {}, outgoingRoot, firstOffset }, out, now);
     return out;
 }
 
--- a/src/Control/ConfigDisseminator.h
+++ b/src/Control/ConfigDisseminator.h
@@ -13,70 +13,79 @@
 
 namespace robinrun {
 
-/// \brief Records to pass on to a child of a tree.
+/// \brief Records to forward to a child in a dissemination tree.
 struct RecordForward {
     std::string peer;
-    std::string treeRoot; ///< whose tree it is
-    std::uint64_t fromOffset = 0; ///< first offset the child needs
+    std::string treeRoot; ///< name of the node at the root of the tree
+    std::uint64_t fromOffset = 0; ///< offset of the first record that the child needs
 };
 
-/// \brief What a node should do now for the configuration to spread.
+/// \brief What a node should do now to receive and spread the configuration.
 struct DisseminationStep {
     bool shouldReadLog = false; ///< keep a read of the log open
-    bool shouldFetchHosts = false; ///< ask the platform for the host list
-    std::vector<std::string> digestPeers; ///< peers to tell the applied offset
+    bool shouldFetchHosts = false; ///< fetch the host list from the platform
+    std::vector<std::string> digestPeers; ///< nodes to send the applied offset to
 };
 
-/// \brief Decides how configuration reaches this node and goes on from it.
+/// \brief Decides how configuration records reach this node and where it forwards them.
 ///
-/// The first hosts of a data hall by rendezvous rank are its readers: they tail the log and pass new records
-/// down a tree over the hall. Two readers make two trees; none is only slower. Every node tells a random peer
-/// its offset now and then (digest); who is behind gets what it lacks. A node that has heard nothing new for
-/// long reads the log itself, under a budget with jitter. Cost: a tick is O(hosts of the hall); messages see
-/// docs/CAPACITY.md.
+/// The first hosts of a data hall by rendezvous rank are its readers: they tail the log and forward new
+/// records down a tree over the hall, each reader down its own tree. Two readers are redundant; without any
+/// reader, records only arrive later. Every node also sends its offset (a digest) to a random peer at
+/// intervals, and the one of the two that is behind gets the records it lacks. A node that has received no
+/// sign of being up to date for `silenceTimeout` reads the log itself, with jitter and under a budget. Cost:
+/// a tick is O(hosts of the hall); for messages see docs/CAPACITY.md.
 class ConfigDisseminator {
 public:
     struct Options {
-        std::size_t readersPerHall = 2; ///< per data hall
-        std::size_t fanOut = 8;
+        std::size_t readersPerHall = 2;
+        std::size_t fanOut = 8; ///< children per node of a dissemination tree
         Duration digestInterval = 2s;
-        Duration startupDigestInterval = 300ms; ///< while this node has no configuration, and in `startPhase`
-        /// After its start a node tells its offset more often: until links to it stand again, what is passed
-        /// down the trees doesn't arrive. Twice the peer links' longest reconnect interval.
+        Duration startupDigestInterval = 300ms; ///< without any configuration, and during `startupPeriod`
+        /// For this time after its start a node sends digests more often: records forwarded down the trees
+        /// don't arrive until the peers' links to the node are connected again. Twice the links' longest
+        /// reconnect interval.
         Duration startupPeriod = 4s;
-        double crossHallDigestFraction = 0.1; ///< share of digests to another data hall
-        Duration silenceTimeout = 8s; ///< silence after which a node reads the log itself
-        double fallbackReadsPerSecond = 0.1; ///< budget of those reads
-        Duration readerHostFetchInterval = 2s; ///< readers' interval between fetches of the host list
+        double crossHallDigestFraction = 0.1; ///< share of digests to a hall chosen at random among all halls
+        Duration silenceTimeout = 8s; ///< time without a sign of being up to date until a node reads the log
+        double fallbackReadsPerSecond = 0.1; ///< budget of the reads of a node that is not a reader
+        Duration readerHostFetchInterval = 2s; ///< between a reader's fetches of the host list
         Duration nonReaderHostFetchInterval = 30s;
     };
 
     ConfigDisseminator(Options options, HostEntry self, std::uint64_t seed, Instant now);
 
-    /// \brief To be called a few times a second. \param isLogRead whether the log answers this node's reads.
+    /// \brief To be called a few times per second. \param isLogReadable whether the log answers this node's
+    /// reads.
     DisseminationStep tick(
         const Membership& members, std::uint64_t nextOffset, bool isLogReadable, Instant now);
 
-    /// \brief The applied offset has risen by records that came down \a root's tree (empty: not from a tree;
-    /// they go no further unless this node is a reader). \returns what to pass on.
+    /// \brief Handles records that have raised the applied offset.
+    /// \param treeRoot root of the tree that the records came down; empty if they came by other ways, then
+    /// only a reader forwards them. \param fromOffset of the first record received; \param nextOffset end of
+    /// the records applied. \returns what to forward.
     std::vector<RecordForward> onOffsetAdvanced(const Membership& members, const std::string& treeRoot,
         std::uint64_t fromOffset, std::uint64_t nextOffset, Instant now);
 
-    /// \returns what to pass on in place of \a unreached, a child that turned out to be gone.
+    /// \returns what to forward to the children of \a unreachable, a child that can't be reached.
     std::vector<RecordForward> rerouteAround(
         const Membership& members, const RecordForward& unreachable, Instant now);
 
-    /// \brief Something was heard that shows this node to be up to date: records, or a digest no higher than
+    /// \brief Records a sign that this node is up to date: records, or a digest with an offset no higher than
     /// its own.
     void confirmUpToDate(Instant now) { m_lastConfirmedAt = now; }
 
+    /// \returns whether this node is among the readers of its hall.
     bool isReader(const Membership& members, Instant now);
     const HostEntry& self() const { return m_self; }
     HallRanking& hallRanking() { return m_hallRanking; }
 
 private:
     std::string pickRandomPeer(const Membership& members, Instant now);
+    /// \returns a random duration between 0.5 and 1.5 times \a interval.
     Duration applyJitter(Duration interval);
+    /// \brief Appends to \a out one entry per child of \a parent in the tree of \a forward, and per child
+    /// of each suspected child.
     void appendForwards(const Membership& members, const std::string& parent, const RecordForward& forward,
         std::vector<RecordForward>& out, Instant now);
 
@@ -90,7 +99,7 @@
     Instant m_nextDigestAt;
     Instant m_nextHostFetchAt;
     std::unordered_map<std::string, std::uint64_t>
-        m_forwardedOffsets; ///< by root: offset up to which records were passed
+        m_forwardedOffsets; ///< by tree root: end of the records forwarded
 };
 
 } // namespace robinrun
--- a/src/Control/InForceAggregator.cpp
+++ b/src/Control/InForceAggregator.cpp
@@ -12,8 +12,8 @@
             counts[it.next_offset()] += it.nodes();
     }
 
-    /// \brief Writes the counts, merging the lowest offsets into one when there are too many: never
-    /// overstates.
+    /// \brief Writes the counts to a message. If there are more than `maxCounts`, the lowest offsets are
+    /// merged into the lowest of them, so that the nodes that have reached an offset are never overcounted.
     void encodeCounts(std::map<std::uint64_t, std::uint32_t> counts, proto::InForce& out)
     {
         while (counts.size() > InForceAggregator::maxCounts) {
--- a/src/Control/InForceAggregator.h
+++ b/src/Control/InForceAggregator.h
@@ -8,11 +8,13 @@
 
 namespace robinrun {
 
-/// \brief Counts, over the subtree below this node, who applies which offset.
+/// \brief Counts which nodes have applied which offset, over the subtree below this node in the counting
+/// tree.
 ///
-/// Each node sends the sum of itself and its children's last reports to its parent. Reports are bounded: the
-/// largest groups of equal offsets and a few named laggards. A child that is silent for `reportLife` drops
-/// out of the sum. Cost: O(children) a sum; a message of at most about 700 bytes.
+/// Each node sends its parent the sum of its own state and its children's last reports. The size of a report
+/// is bounded: it holds the counts of at most `maxCounts` offsets and the names of at most `maxLaggards`
+/// nodes. The report of a child that has sent none for `reportLifetime` is dropped from the sum. Cost:
+/// O(children) per sum; a message takes at most about 700 bytes.
 class InForceAggregator {
 public:
     static constexpr int maxLaggards = 20;
@@ -23,12 +25,12 @@
     {
     }
 
-    /// \brief A child's report came; one of no nodes takes the earlier ones back.
+    /// \brief Replaces the last report of \a child. A report of zero nodes removes the child from the sum.
     void recordReport(const std::string& child, const proto::InForce& report, Instant now);
 
-    /// \returns the sum over this node and its children.
-    /// \param behindSince since when this node has known of an offset it doesn't apply; nothing if it is up
-    /// to date.
+    /// \brief Drops expired reports and adds up the others and this node. \param self name of this node.
+    /// \param nextOffset of this node. \param behindDuration how long this node has known of records that it
+    /// has not applied; zero if it has applied all. \returns the sum.
     proto::InForce aggregate(
         const std::string& self, std::uint64_t nextOffset, Duration behindDuration, Instant now);
 
--- a/src/Control/Membership.cpp
+++ b/src/Control/Membership.cpp
@@ -3,7 +3,7 @@
 namespace robinrun {
 namespace {
 
-    constexpr std::size_t maxRemovedHosts = 1000;
+    constexpr std::size_t maxRemovedHosts = 1000; ///< removed hosts that are remembered for changesSince()
 
 } // namespace
 
--- a/src/Control/Tree.cpp
+++ b/src/Control/Tree.cpp
@@ -17,8 +17,7 @@
         return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
     }
 
-    /// \returns the tree's nodes from the top, each level from left to right: the root, then the others by
-    /// rank.
+    /// \returns the nodes of the tree in level order: the root, then the other hosts by rank.
     std::vector<std::string> levelOrder(const std::vector<std::string>& rankedHosts, const std::string& root)
     {
         std::vector<std::string> order { root };
@@ -114,7 +113,7 @@
 {
     const auto& rankedHosts = m_hallRanking->rankedHosts(*m_members, now);
     auto index = indexOf(rankedHosts, m_self->name);
-    // The nearest of those above it that is there.
+    // The nearest ancestor in the hall's tree that isn't suspected.
     while (index > 0) {
         index = (index - 1) / m_fanOut;
         if (!m_members->isSuspected(rankedHosts[index], now))
--- a/src/Control/Tree.h
+++ b/src/Control/Tree.h
@@ -9,24 +9,30 @@
 
 namespace robinrun {
 
-/// \returns \a names ordered by the hash of name and \a salt (rendezvous hashing): the first is the one to
-/// take a role, the next one takes over without any message, and each role falls on another host. O(n log n).
+/// \returns \a names ordered by the hash of name and \a salt (rendezvous hashing). The first host takes the
+/// role that \a salt stands for; if it fails, the next one takes over without any message. Different salts
+/// give different orders, which spreads the roles over the hosts. O(n log n).
 std::vector<std::string> rankByHash(std::vector<std::string> names, std::string_view salt);
 
-/// \returns the first \a n of \a names by that order. O(names).
+/// \returns the first \a n of \a names in the order of rankByHash(). O(names).
 std::vector<std::string> topRankedByHash(
     const std::vector<std::string>& names, std::string_view salt, std::size_t n);
 
-/// \returns the children of \a self in the tree over \a ranked that starts at \a root. A root that isn't
-/// ranked comes first; a self that isn't ranked has no children.
+/// \returns the children of \a self in the tree over \a rankedHosts with the root \a root. The root need not
+/// be among the ranked hosts; a \a self that is neither ranked nor the root has no children.
+///
+/// Each node computes its place from its own view of the members. Where two views differ, a node may get
+/// records twice or not at all; digests then bring it the missing records.
 std::vector<std::string> treeChildren(const std::vector<std::string>& rankedHosts, const std::string& root,
     const std::string& self, std::size_t fanOut);
 
-/// \brief The live hosts of one data hall by rank, this node included; made anew at most twice a second, as
-/// each making is O(n log n) and ticks, messages and counts ask for it.
+/// \brief Caches the hosts of one data hall by rank: the listed hosts that aren't leaving, and this node.
+///
+/// Ranking is O(n log n), and ticks, messages and counts all need it; it is therefore redone at most twice
+/// per second, except when the host list changes.
 class HallRanking {
 public:
-    /// \param self name of this node; \a hall its data hall.
+    /// \param self name of this node; \param hall its data hall.
     HallRanking(std::string self, std::string hall)
         : m_self(std::move(self))
         , m_hall(std::move(hall))
@@ -43,11 +49,11 @@
     Instant m_validUntil {};
 };
 
-/// \brief Places in the trees that carry control traffic, computed by each node from its own view of the
-/// members.
+/// \brief The place of this node in the tree that carries counts upwards, computed from the node's own view
+/// of the members.
 ///
-/// Views may differ: then a message goes to a node that doesn't need it, or one is missed and digests fill it
-/// in.
+/// The views of two nodes may differ. A report may then go to a node that doesn't need it or not reach one
+/// that does; reports are repeated, so later ones correct the sum.
 class CountingTree {
 public:
     CountingTree(
@@ -59,8 +65,9 @@
     {
     }
 
-    /// \returns where this node's counts go: up the hall's tree, then to the region's first hall, then to the
-    /// first region. Empty at the top.
+    /// \returns the name of the node that this node's counts go to: up the hall's tree, from its root to the
+    /// root of the region's first hall with a live host, from there to that of the first region. Empty at the
+    /// top.
     std::string parent(Instant now) const;
 
 private:
--- a/src/Once/ClaimBatcher.h
+++ b/src/Once/ClaimBatcher.h
@@ -12,65 +12,75 @@
 
 namespace robinrun {
 
-/// \brief The fate of one claim, for the node that asked.
+/// \brief The result of one claim, for the node that requested it.
 struct ClaimDecision {
     enum class Kind {
-        Won, ///< `winner` holds the key: the asker's own ticket or an earlier one
-        TooOld,
-        Undecided, ///< the log is out or slow, or over budget
+        Won, ///< `winner` holds the key: the requester's own ticket or an earlier one
+        TooOld, ///< the key can't be decided, see ClaimStatus::Kind::TooOld
+        Undecided, ///< the claim timed out: the log is unreachable or slow, or appends are over their budget
     };
     std::uint64_t requestId = 0;
     Kind kind = Kind::Undecided;
-    Ticket winner;
+    Ticket winner; ///< set if `kind` is Won
 };
 
-/// \brief Gathers the claims of many calls into few appends to one claim stream, and decides them from the
-/// stream.
+/// \brief Batches the claims of many calls into few appends to one claim stream, and decides them from what
+/// is read back from the stream.
 ///
-/// Only the fold decides: a claim is answered when the stream itself shows who won its key. Two batchers on
-/// one stream, a paused one, a lost reply or a record that shows up late change nothing but the number of
-/// appends. Cost: O(1) a claim, O(batch) an append.
+/// Only the ClaimFold decides: a claim is answered when the stream itself shows which claim won its key. Two
+/// batchers on one stream, a paused batcher, a lost reply to an append or a record that appears late
+/// therefore change only the number of appends, never a decision. Cost: O(1) per claim, O(batch) per append.
 class ClaimBatcher {
 public:
     struct Options {
         std::size_t maxClaimsPerBatch = 200;
-        Duration maxBatchDelay = 3ms; ///< how long a claim waits for others
-        Duration decisionTimeout = 2s; ///< then it is given up as undecided
+        Duration maxBatchDelay = 3ms; ///< the longest time that a claim waits for others to share its batch
+        Duration decisionTimeout = 2s; ///< a claim without a decision after this time becomes Undecided
     };
 
+    /// \param incarnation of this node, and \param stream name of the claim stream; both go into the ids of
+    /// batches, so that no two batchers use the same id.
     ClaimBatcher(Options options, std::uint64_t incarnation, const std::string& stream);
 
-    /// \brief A claim to decide. \param request number by which decisions() names it.
+    /// \brief Adds a claim to decide. \param requestId identifies the claim in takeDecisions(); unique among
+    /// pending claims.
     void addClaim(std::uint64_t requestId, const Claim& claim, Instant now);
 
-    /// \brief Whether a batch is due: something waits and the oldest has waited long enough.
+    /// \returns whether a batch should be appended now: enough claims are unsent for a full batch, or the
+    /// first of them has waited for `maxBatchDelay`.
     bool isBatchDue(Instant now) const;
 
-    /// \brief Makes the next batch to append. The caller keeps the rate of appends.
+    /// \returns the next batch to append, or nothing if none is due. The caller limits the rate of appends.
     std::optional<ClaimBatch> takeNextBatch(Instant now);
 
-    /// \brief The append of batch \a id failed for certain (never taken): its claims wait for the next batch.
+    /// \brief Returns the claims of batch \a batchId to the unsent ones. To be called only if the append
+    /// certainly took no effect.
     void onAppendFailed(const std::string& batchId, Instant now);
 
-    /// \brief The stream was read further: decides what \a fold now shows. \a batches are the ids just read.
+    /// \brief Decides the pending claims after more of the stream has been read.
+    /// \param fold the state after that read.
+    /// \param batchIds ids of the batches just read.
+    /// \param wallMs wall-clock time, ms since 1970.
     void onStreamRead(const ClaimFold& fold, const std::vector<std::string>& batchIds, std::int64_t wallMs);
 
-    /// \brief Gives up claims that have waited too long.
+    /// \brief Decides all claims older than `decisionTimeout` as Undecided.
     void expireOldClaims(Instant now);
 
-    /// \returns decisions made since the last call.
+    /// \returns the decisions made since the last call.
     std::vector<ClaimDecision> takeDecisions();
 
+    /// \returns the number of claims without a decision.
     std::size_t pendingCount() const { return m_unsent.size() + m_sent.size(); }
 
 private:
     struct PendingClaim {
         Claim claim;
         Instant requestedAt;
-        std::string batchId;
+        std::string batchId; ///< empty until the claim is sent
     };
-    using PendingClaimMap = std::map<std::uint64_t, PendingClaim>;
+    using PendingClaimMap = std::map<std::uint64_t, PendingClaim>; ///< by request id
 
+    /// \returns whether \a fold decides the claim; the decision is then queued.
     bool tryDecide(std::uint64_t requestId, const Claim& claim, const ClaimFold& fold, std::int64_t wallMs);
     void expirePending(PendingClaimMap& pending, Instant now);
 
--- a/src/Once/ClaimFold.cpp
+++ b/src/Once/ClaimFold.cpp
@@ -49,8 +49,8 @@
 {
     const bool isLogReplaced = m_hasAppliedPage && (page.logId != m_logId || page.end < m_nextOffset);
     if (isLogReplaced) {
-        // Claims that only the lost part held are gone: no key made before now can be decided.
-        // The new log is read from its start; this page may begin in the middle of it.
+        // Claims that only the former log held are lost: no unclaimed key created before now can be decided.
+        // The new log is read from its start, since this page may begin in the middle of it.
         m_historyCompleteSinceMs = wallMs;
         m_nextOffset = 0;
     } else if (!m_hasAppliedPage || page.from > m_nextOffset) {
@@ -76,7 +76,7 @@
         if (!batch)
             continue;
         for (const auto& it : batch->claims) {
-            // Before a key as old as this an earlier claim may have been forgotten: this one proves nothing.
+            // The log may have dropped an earlier claim of a key outside the complete history.
             if (hasCompleteHistoryFor(it.keyCreatedMs))
                 recordClaim(it);
         }
@@ -103,7 +103,7 @@
     const auto it = m_winners.find(keyHash);
     if (it != m_winners.end() && !isTooOld)
         return { ClaimStatus::Kind::Won, it->second.ticket };
-    // A key from the future would outlive the memory of its claim by as much as it is ahead.
+    // A key with a creation time in the future would stay valid after this fold has evicted its claim.
     if (isTooOld || isFromFuture || !m_hasAppliedPage || !hasCompleteHistoryFor(keyCreatedMs))
         return { ClaimStatus::Kind::TooOld, {} };
     return { ClaimStatus::Kind::Unclaimed, {} };
--- a/src/Once/ClaimFold.h
+++ b/src/Once/ClaimFold.h
@@ -14,39 +14,41 @@
 
 namespace robinrun {
 
-/// \brief Binds an idempotency key to a ticket. The first claim of a key by offset wins, for everybody, for
-/// ever.
+/// \brief A request to bind an idempotency key to a ticket. The claim of a key with the lowest offset in the
+/// claim stream wins on every node, permanently.
 struct Claim {
-    Hash128 keyHash; ///< hash of group, service and the caller's key
-    std::int64_t keyCreatedMs = 0; ///< from the key itself
+    Hash128 keyHash; ///< hash of group, service and the caller's idempotency key
+    std::int64_t keyCreatedMs = 0; ///< when the key was created, ms since 1970; read from the key itself
     Ticket ticket;
 };
 
-/// \brief One record of a claim stream: claims of several calls.
+/// \brief One record of a claim stream: the claims of several calls.
 struct ClaimBatch {
-    std::string id; ///< chosen by its writer
+    std::string id; ///< chosen by the writer, unique
     std::vector<Claim> claims;
 
     std::string serialize() const;
+    /// \returns nothing if \a record is not a valid ClaimBatch message.
     static std::optional<ClaimBatch> parse(std::string_view record);
 };
 
-/// \brief What a claim stream says of a key.
+/// \brief The state of an idempotency key according to a claim stream.
 struct ClaimStatus {
     enum class Kind {
-        Unclaimed, ///< no claim so far, and none was forgotten
-        Won, ///< by `winner`
-        TooOld, ///< a claim may have been forgotten
+        Unclaimed, ///< the stream holds no claim of the key, and none can have been dropped
+        Won, ///< the key is bound to `winner`
+        TooOld, ///< undecidable: a claim may have been dropped, or the key's creation time is not plausible
     };
     Kind kind = Kind::TooOld;
-    Ticket winner;
+    Ticket winner; ///< set if `kind` is Won
 };
 
-/// \brief Folds one claim stream, record by record in the order of offsets.
+/// \brief Folds the records of one claim stream in the order of offsets.
 ///
-/// All nodes that fold the same records agree. A key that is older than what the fold has seen in full is
-/// `TooOld`: its claim may have been made and forgotten. Claims are dropped from memory once their keys are
-/// `TooOld` by age. Cost: O(1) a claim; about 180 bytes a key.
+/// All nodes that fold the same records agree on each key's winner. A key that was created before the start
+/// of the history that the fold has seen completely is `TooOld`: the log may have dropped an earlier claim of
+/// it. The fold drops claims from memory once their keys have passed `keyLifetime`. Cost: O(1) per claim;
+/// about 180 bytes per key.
 class ClaimFold {
 public:
     struct Options {
@@ -60,17 +62,23 @@
     }
     virtual ~ClaimFold() = default;
 
-    /// \brief Takes what was read from nextOffset() on. \returns ids of the batches in it.
+    /// \brief Applies a page that was read from nextOffset() on. Records that were applied before are
+    /// skipped. \param wallMs wall-clock time, ms since 1970. \returns the ids of the batches applied.
     std::vector<std::string> applyPage(const LogPage& page, std::int64_t wallMs);
 
+    /// \param keyCreatedMs when the key was created; \param wallMs the wall-clock time; both in ms since
+    /// 1970.
     ClaimStatus status(Hash128 keyHash, std::int64_t keyCreatedMs, std::int64_t wallMs) const;
 
+    /// \returns the offset to read the stream from.
     std::uint64_t nextOffset() const { return m_nextOffset; }
     bool hasAppliedPage() const { return m_hasAppliedPage; }
+    /// \returns the number of keys with a winner in memory.
     std::size_t size() const { return m_winners.size(); }
 
 protected:
-    /// \brief Enters a claim unless its key has one already. Virtual for tests that break it on purpose.
+    /// \brief Records a claim unless its key already has a winner. Virtual so that tests can replace it by a
+    /// faulty version.
     virtual void recordClaim(const Claim& claim);
 
     struct Winner {
@@ -80,7 +88,10 @@
     std::unordered_map<Hash128, Winner, Hash128Hasher> m_winners;
 
 private:
+    /// \brief Updates the read position and the start of the complete history: skips records that the log has
+    /// dropped, and starts over if the log was replaced.
     void updateReadPosition(const LogPage& page, std::int64_t wallMs);
+    /// \returns whether the fold has seen every claim that a key created at this time can have.
     bool hasCompleteHistoryFor(std::int64_t keyCreatedMs) const;
     void evictExpiredClaims(std::int64_t wallMs);
     std::int64_t keyLifetimeMs() const;
@@ -90,7 +101,7 @@
     std::string m_logId;
     std::uint64_t m_nextOffset = 0;
     bool m_hasAppliedPage = false;
-    std::int64_t m_historyCompleteSinceMs = 0;
+    std::int64_t m_historyCompleteSinceMs = 0; ///< every record appended since this wall-clock time was seen
     std::int64_t m_lastEvictionMs = 0;
 };
 
--- a/src/Once/KeyCreationTime.h
+++ b/src/Once/KeyCreationTime.h
@@ -6,11 +6,11 @@
 
 namespace robinrun {
 
-/// \brief When an idempotency key was made, read from the key itself.
+/// \brief Reads the creation time of an idempotency key from the key itself.
 ///
-/// A key must prove its age: a claim on it may have been made and forgotten by the log, and only a key
-/// younger than what the log keeps is known to be new. Two forms carry a time: a UUID of version 7, and
-/// `<seconds since 1970>:<anything>`.
+/// The creation time is needed because the log may have dropped an earlier claim of the key: a key is only
+/// known to be unclaimed if it was created within the period for which the log still holds all records. Two
+/// forms of key carry a time: a UUID of version 7, and `<seconds since 1970>:<any non-empty text>`.
 /// \returns milliseconds since 1970; nothing for a key of any other form.
 std::optional<std::int64_t> keyCreationTimeMs(std::string_view key);
 
--- a/src/Once/Ticket.cpp
+++ b/src/Once/Ticket.cpp
@@ -27,7 +27,8 @@
         return n;
     }
 
-    /// \brief Splits off the last four parts; an upstream's name may hold dots itself.
+    /// \brief Splits a ticket's text at its last four dots; the name of the upstream may contain dots itself.
+    /// \returns the parts, last one first.
     std::vector<std::string_view> splitFromEnd(std::string_view text)
     {
         std::vector<std::string_view> parts;
@@ -54,13 +55,14 @@
 {
     const auto parts = splitFromEnd(text);
     if (parts.size() != ticketPartCount || parts[4].empty())
-        return failure(std::string("a ticket has the form <upstream>.<incarnation>.<epoch>.<nonce>.<nonce>"));
+        return failure(
+            std::string("a ticket must have the form <upstream>.<incarnation>.<epoch>.<nonce>.<nonce>"));
     const auto low = parseHex(parts[0]);
     const auto high = parseHex(parts[1]);
     const auto epoch = parseHex(parts[2]);
     const auto incarnation = parseHex(parts[3]);
     if (!low || !high || !epoch || !incarnation)
-        return failure(std::string("the numbers of a ticket are hexadecimal"));
+        return failure(std::string("incarnation, epoch and nonce of a ticket must be hexadecimal numbers"));
     return Ticket { std::string(parts[4]), *incarnation, *epoch, { *high, *low } };
 }
 
--- a/src/Once/TicketTable.cpp
+++ b/src/Once/TicketTable.cpp
@@ -5,7 +5,7 @@
 namespace robinrun {
 namespace {
 
-    /// Bytes of a record beside its body: map nodes, headers, the ticket's place among its epoch.
+    /// Memory of a record beside the characters of its body and headers: container nodes and string objects.
     constexpr std::size_t recordOverheadBytes = 300;
 
     std::size_t sizeInBytes(const RecordedAnswer& answer)
@@ -32,7 +32,7 @@
     , m_options(options)
     , m_startTime(startTime)
 {
-    require(options.epochLength > Duration::zero(), "TicketTable: epochs have a length");
+    require(options.epochLength > Duration::zero(), "TicketTable: epochLength must be above 0");
 }
 
 std::uint64_t TicketTable::epochAt(Instant now) const
@@ -51,7 +51,7 @@
     const auto epoch = epochAt(now);
     if (epoch > m_options.retainedEpochs)
         evictEpochsBefore(epoch - m_options.retainedEpochs);
-    // A ticket of another incarnation may have been run there: nobody can tell any more.
+    // A ticket of another incarnation may have run there, and that incarnation's records are lost.
     if (ticket.upstream != m_upstream || ticket.incarnation != m_incarnation)
         return makeRefusal(Reason::TicketUnknown, false);
     if (ticket.epoch + m_options.retainedEpochs < epoch || ticket.epoch > epoch)
@@ -80,7 +80,7 @@
 void TicketTable::recordAnswer(Hash128 nonce, RecordedAnswer answer)
 {
     const auto it = m_entries.find(nonce);
-    // The call may outlive its ticket's epoch; then no repeat is let in any more.
+    // The call may have outlasted the retention of its ticket; repeats are then refused as unknown anyway.
     if (it == m_entries.end())
         return;
     m_usedBytes += sizeInBytes(answer);
@@ -90,7 +90,8 @@
 void TicketTable::releaseTicket(Hash128 nonce)
 {
     const auto it = m_entries.find(nonce);
-    require(it == m_entries.end() || !it->second.answer, "TicketTable::notRun: the call has not ended");
+    require(it == m_entries.end() || !it->second.answer,
+        "TicketTable::releaseTicket: the call must not have a recorded answer");
     if (it == m_entries.end())
         return;
     m_noncesByEpoch.erase({ it->second.epoch, nonce });
--- a/src/Once/TicketTable.h
+++ b/src/Once/TicketTable.h
@@ -15,29 +15,32 @@
 
 namespace robinrun {
 
-/// \brief What a call with a ticket came to. A repeat gets the same.
+/// \brief The recorded outcome of a call with a ticket. Every repeat of the call gets the same one.
 struct RecordedAnswer {
-    bool isOutcomeKnown = false; ///< false: it was handed over and its outcome is not known, nor ever will be
-    int statusCode = 0;
+    /// False if the call was sent to the backend server and its outcome is unknown; it then stays unknown.
+    bool isOutcomeKnown = false;
+    int statusCode = 0; ///< of HTTP
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
 };
 
-/// \brief What the owner is to do with a call that carries a ticket.
+/// \brief What the owner does with a call that carries a ticket.
 enum class TicketAction {
-    Run, ///< first use: run it
-    Join, ///< it waits or runs already: answer this one with it
-    Replay, ///< it has ended: answer with the record
-    Refuse, ///< see the reason
+    Run, ///< first use of the ticket: run the call
+    Join, ///< the first call with the ticket is queued or running: answer this call together with it
+    Replay, ///< the first call has ended: answer with its recorded answer
+    Refuse, ///< refuse the call for Decision::reason
 };
 
-/// \brief The owner's memory of tickets: each is run at most once, in this incarnation only.
+/// \brief The owner's record of used tickets: each ticket runs at most once, and only in the incarnation that
+/// minted it.
 ///
-/// Nothing is stored for a ticket until it is used. Its epoch says when it was minted on the owner's own
-/// clock; a record is kept until `keptEpochs` epochs after that, and a ticket that is older is refused as
-/// unknown whether or not it was used. When the table is full, new tickets are refused as not run: a live
-/// record is never dropped. Cost: O(1); memory of a record is its body plus about 300 bytes, at most
-/// `maxBytes` in all.
+/// A ticket takes no memory until it is used. Its epoch is the number of whole `epochLength`s between the
+/// start of the table and the minting, on the owner's own clock. The record of a ticket is kept until
+/// `retainedEpochs` epochs after that; an older ticket is refused as unknown, whether or not it was used.
+/// When the table is full, new tickets are refused as not run; a record is never dropped early to make room.
+/// Cost: O(1) per call; each record takes its body and headers plus about 300 bytes. New tickets are refused
+/// once the records take `maxBytes`.
 class TicketTable {
 public:
     struct Options {
@@ -48,28 +51,32 @@
 
     struct Decision {
         TicketAction action = TicketAction::Refuse;
-        Reason reason = Reason::None; ///< of a refusal
-        bool isNotRun = false; ///< whether a refusal proves that the call was not run
-        std::shared_ptr<const RecordedAnswer> answer; ///< of a replay
-        std::uint64_t firstCallId = 0; ///< of a join: the call that was told to run
+        Reason reason = Reason::None; ///< for Refuse
+        bool isNotRun = false; ///< for Refuse: whether the call is known not to have run
+        std::shared_ptr<const RecordedAnswer> answer; ///< for Replay
+        std::uint64_t firstCallId = 0; ///< for Join: id of the call that got Run for this ticket
     };
 
+    /// \param startTime when epoch 0 begins.
     TicketTable(std::string upstream, std::uint64_t incarnation, Options options, Instant startTime);
     virtual ~TicketTable() = default;
 
     Ticket mint(Random& random, Instant now) const;
 
-    /// \brief A call with a ticket came. \param fingerprint of group, method, target and body: a ticket is
-    /// good for one request only. \param id of the call, for later joins.
+    /// \brief Decides what to do with a call that carries \a ticket. Virtual so that tests can replace it by
+    /// a faulty version. \param fingerprint hash of group, method, target and body. A ticket is valid for one
+    /// request only: a call with another fingerprint is refused with Reason::TicketMismatch. \param callId
+    /// identifies the call in the `firstCallId` of later ones.
     virtual Decision beginCall(const Ticket& ticket, Hash128 fingerprint, std::uint64_t callId, Instant now);
 
-    /// \brief The call that was told to run has ended, after it was handed to the backend server.
+    /// \brief Records the outcome of the call that got Run and was sent to the backend server.
     void recordAnswer(Hash128 nonce, RecordedAnswer answer);
 
-    /// \brief The call that was told to run was given up before it was handed over; the ticket is unused
-    /// again.
+    /// \brief Makes a ticket unused again. To be called if the call that got Run was given up before it was
+    /// sent to the backend server.
     void releaseTicket(Hash128 nonce);
 
+    /// \returns the number of tickets with a record.
     std::size_t size() const { return m_entries.size(); }
     std::size_t usedBytes() const { return m_usedBytes; }
 
@@ -78,7 +85,7 @@
         Hash128 fingerprint;
         std::uint64_t epoch = 0;
         std::uint64_t firstCallId = 0;
-        std::shared_ptr<const RecordedAnswer> answer; ///< null while it waits or runs
+        std::shared_ptr<const RecordedAnswer> answer; ///< null while the call is queued or running
     };
 
     std::uint64_t epochAt(Instant now) const;
--- a/test/ConfigTest.cpp
+++ b/test/ConfigTest.cpp
@@ -45,13 +45,13 @@
     return { std::move(id), from, first, end, 0, std::move(records) };
 }
 
-/// \brief Broken on purpose: takes any base version.
+/// \brief Faulty on purpose: accepts any base version.
 class UncheckedState : public ConfigState {
 protected:
     std::string refusalReason(const proto::ChangeRecord&) const override { return ""; }
 };
 
-/// \brief Two writers race on one resource. \returns how many were accepted.
+/// \brief Applies three changes of one resource with the same base version. \returns how many were accepted.
 int countRaceWinners(ConfigState& state)
 {
     const auto base = state.apply(putRecord("first", "services/a", 0)).version();
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("Of racing writers exactly one wins", "[config]")
+TEST_CASE("Of several writers with the same base version exactly one is accepted", "[config]")
 {
     ConfigState correct;
     REQUIRE(countRaceWinners(correct) == 1);
@@ -73,10 +73,9 @@
     REQUIRE(countRaceWinners(unchecked) != 1);
 }
 
-TEST_CASE(
-    "Any way of cutting the same records into pages, peers and snapshots gives the same state", "[config]")
+TEST_CASE("The same records give the same state, however pages, peers and snapshots deliver them", "[config]")
 {
-    rc::prop("over random changes and cuts", [](std::uint64_t seed) {
+    rc::prop("for random changes and random ways of delivery", [](std::uint64_t seed) {
         Random random(seed);
         std::vector<std::string> records;
         ConfigState reference;
@@ -119,7 +118,7 @@
     });
 }
 
-TEST_CASE("A log that comes back shorter or as another one is reported, not followed", "[config]")
+TEST_CASE("A log that has become shorter or was replaced is reported and not followed", "[config]")
 {
     ConfigFollower follower;
     follower.applyLogPage(makePage(0, { putRecord("1", "services/a", 0), putRecord("2", "services/b", 0) }));
@@ -138,7 +137,8 @@
     REQUIRE(follower.applyPeerRecords(foreign) == ConfigFollower::Progress::None);
 }
 
-TEST_CASE("After the log forgot, a fresh follower starts from a snapshot and loses nothing", "[config]")
+TEST_CASE("After the log has dropped records, a new follower starts from a snapshot and misses no change",
+    "[config]")
 {
     ConfigFollower writer;
     std::vector<std::string> records;
@@ -148,8 +148,8 @@
     proto::ChangeRecord snapshot;
     snapshot.set_id("snapshot");
     *snapshot.mutable_snapshot() = writer.state().snapshot();
-    records.push_back(
-        putRecord("between", "services/between", 0)); // appended while the snapshot was on its way
+    records.push_back(putRecord(
+        "between", "services/between", 0)); // appended after the snapshot was taken, before it was appended
     records.push_back(snapshot.SerializeAsString());
     records.push_back(putRecord("after", "services/after", 0));
     writer.applyLogPage(makePage(0, records));
@@ -165,7 +165,7 @@
     REQUIRE(lateFollower.state().digest() == writer.state().digest());
 }
 
-TEST_CASE("A snapshot is due well before what is needed is forgotten", "[config]")
+TEST_CASE("A snapshot is due once the log drops records and the last one is old", "[config]")
 {
     ConfigFollower follower;
     std::vector<std::string> records;
@@ -178,7 +178,7 @@
     REQUIRE(follower.needsSnapshot());
 }
 
-TEST_CASE("A resource is checked whole, by field", "[config]")
+TEST_CASE("All errors of a resource are reported, each with its field", "[config]")
 {
     REQUIRE(validate(makeService("services/a")).empty());
     proto::Resource bad;
@@ -198,7 +198,8 @@
         REQUIRE_FALSE(isIpv4Endpoint(address));
 }
 
-TEST_CASE("YAML and JSON read into the schema, patches replace what they name", "[config]")
+TEST_CASE(
+    "Resources are read from YAML and JSON, and a patch replaces only the fields that it names", "[config]")
 {
     proto::Resource resource;
     REQUIRE(
--- a/test/ControlTest.cpp
+++ b/test/ControlTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// In force everywhere within this, from the append or from the end of what stood in the way.
+/// The longest time until a change is in force everywhere, from its append or from the end of the last fault.
 constexpr Duration inForceBound = 9s;
 
 ControlModel::Options oneRegionOptions(int halls, int nodesPerHall)
@@ -24,7 +24,8 @@
 
 } // namespace
 
-TEST_CASE("A change is in force everywhere within seconds, by few readers", "[control]")
+TEST_CASE("A change is in force everywhere within 3 s, and control traffic stays below 7000 bytes per second",
+    "[control]")
 {
     ControlModel model(1, {});
     model.run(10s);
@@ -35,13 +36,13 @@
     REQUIRE(model.hasConverged());
     for (std::size_t i = 0; i < model.size(); ++i)
         REQUIRE(*model.appliedAt(i, 0) - written <= 3s);
-    // 4 halls with 2 readers each hold one read open; nobody else asks the log.
+    // The 2 readers of each of the 4 halls hold one read open; no other node reads the log.
     INFO(model.logReadCount() - readCount);
     REQUIRE(model.sentBytes() / model.size() / 20 < 7000);
 }
 
 TEST_CASE(
-    "Racing operators, lost replies, outages, restarts, pauses and cuts: one state everywhere", "[control]")
+    "All nodes reach the same state despite racing writers, log faults, restarts and cut links", "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         ControlModel::Options options;
@@ -66,19 +67,19 @@
             });
         }
         for (int i = 0; i < 6; ++i) {
-            const auto victim = random.below(model.size());
+            const auto restartedNode = random.below(model.size());
             const auto when = randomTime(25);
-            model.loop().at(when, [&model, victim] {
-                if (model.isLive(victim))
-                    model.stop(victim);
+            model.loop().at(when, [&model, restartedNode] {
+                if (model.isLive(restartedNode))
+                    model.stop(restartedNode);
             });
-            model.loop().at(when + 2s, [&model, victim] {
-                if (!model.isLive(victim))
-                    model.start(victim);
+            model.loop().at(when + 2s, [&model, restartedNode] {
+                if (!model.isLive(restartedNode))
+                    model.start(restartedNode);
             });
-            const auto paused = random.below(model.size());
+            const auto pausedNode = random.below(model.size());
             model.loop().at(
-                randomTime(25), [&model, paused] { model.pause(paused, model.loop().now() + 4s); });
+                randomTime(25), [&model, pausedNode] { model.pause(pausedNode, model.loop().now() + 4s); });
         }
         model.loop().at(randomTime(20), [&model] { model.log().outageUntil(model.loop().now() + 8s); });
         model.loop().at(randomTime(20), [&model] { model.cutRegion(1, model.loop().now() + 8s); });
@@ -89,7 +90,9 @@
     }
 }
 
-TEST_CASE("All nodes restart while the log is out: they wait, say so, and have it all after", "[control]")
+TEST_CASE(
+    "Nodes that restart during a log outage get the state from a peer, or from the log after the outage",
+    "[control]")
 {
     ControlModel model(7, {});
     model.run(3s);
@@ -102,14 +105,14 @@
         model.stop(i);
         model.start(i);
     }
-    // One node is left with the state: the others take it from there, without the log.
+    // Node 0 still has the state: the others get it from there, without the log.
     model.run(10s);
     REQUIRE(model.hasConverged());
     for (std::size_t i = 0; i < model.size(); ++i) {
         model.stop(i);
         model.start(i);
     }
-    // Nobody has it any more: nothing is served until the log is back.
+    // No node has the state any more: none follows the log until the outage ends.
     model.run(5s);
     REQUIRE(model.plane(3).follower().nextOffset() == 0);
     REQUIRE(model.plane(3).follower().logState() != LogFollowState::Followed);
@@ -117,7 +120,7 @@
     REQUIRE(model.hasConverged());
 }
 
-TEST_CASE("The log forgets: snapshots are appended in time, and late nodes still find all", "[control]")
+TEST_CASE("Restarted nodes get all resources although the log has dropped the records of some", "[control]")
 {
     ControlModel model(5, {});
     model.run(3s);
@@ -138,7 +141,8 @@
     REQUIRE(model.plane(2).follower().state().resources().size() == 50);
 }
 
-TEST_CASE("Counting what is in force reaches the top of the tree, and names who is behind", "[control]")
+TEST_CASE(
+    "The top of the counting tree knows the number of nodes and the lowest and highest offset", "[control]")
 {
     ControlModel model(3, {});
     model.run(5s);
@@ -160,45 +164,47 @@
     REQUIRE(total.max_next_offset() == 2);
 }
 
-TEST_CASE("A restarted node is passed new records again within a second or two", "[control]")
+TEST_CASE("A restarted node gets new records again within 1.5 s", "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        ControlModel model(
-            seed, oneRegionOptions(1, 60)); // so that random digests alone rarely reach its parents
+        // In a hall of 60 nodes, random digests alone rarely reach the parents of the restarted node.
+        ControlModel model(seed, oneRegionOptions(1, 60));
         model.run(5s);
-        const std::size_t victim = seed % model.size();
-        model.stop(victim);
-        // Its parents find out that it is gone while they pass something on.
-        model.appendChange((victim + 1) % model.size(), "services/a", 0);
+        const std::size_t restartedNode = seed % model.size();
+        model.stop(restartedNode);
+        // Its parents find it unreachable when they forward this record.
+        model.appendChange((restartedNode + 1) % model.size(), "services/a", 0);
         model.run(3s);
-        model.start(victim);
+        model.start(restartedNode);
         model.run(1s);
-        model.appendChange((victim + 1) % model.size(), "services/b", 0);
+        model.appendChange((restartedNode + 1) % model.size(), "services/b", 0);
         model.run(1500ms);
         INFO("seed " << seed);
-        REQUIRE(model.plane(victim).follower().nextOffset() == 2);
+        REQUIRE(model.plane(restartedNode).follower().nextOffset() == 2);
     }
 }
 
-TEST_CASE("A change made while a node restarts is in force there before links to it stand again", "[control]")
+TEST_CASE(
+    "A change made just after a node's restart is in force there within 1.5 s, before links to it reconnect",
+    "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         ControlModel model(seed, oneRegionOptions(2, 50));
         model.run(5s);
         model.appendChange(1, "services/a", 0);
         model.run(30s);
-        const std::size_t victim = seed % model.size();
-        model.stop(victim);
-        model.start(victim);
+        const std::size_t restartedNode = seed % model.size();
+        model.stop(restartedNode);
+        model.start(restartedNode);
         model.run(500ms);
-        model.appendChange((victim + 1) % model.size(), "services/b", 0);
+        model.appendChange((restartedNode + 1) % model.size(), "services/b", 0);
         model.run(1500ms);
         INFO("seed " << seed);
-        REQUIRE(model.plane(victim).follower().nextOffset() == 2);
+        REQUIRE(model.plane(restartedNode).follower().nextOffset() == 2);
     }
 }
 
-TEST_CASE("Those below a host that turns out to be gone are served at once", "[control]")
+TEST_CASE("The descendants of unreachable hosts get new records within 300 ms", "[control]")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         auto options = oneRegionOptions(1, 60);
@@ -216,7 +222,7 @@
     }
 }
 
-TEST_CASE("Those below a suspected host are served in its place, and it is tried all the same", "[control]")
+TEST_CASE("Records are forwarded to a suspected child and directly to its children", "[control]")
 {
     Membership members({});
     HostPage page { 1, true, {}, {} };
@@ -229,23 +235,23 @@
     const auto ranked = rankByHash(names, "hall");
     ConfigDisseminator::Options options;
     options.fanOut = 4;
-    ConfigDisseminator spread(options, *members.find(ranked[0]), 1, {});
+    ConfigDisseminator disseminator(options, *members.find(ranked[0]), 1, {});
     const auto children = treeChildren(ranked, ranked[0], ranked[0], 4);
-    const auto below = treeChildren(ranked, ranked[0], children[1], 4);
+    const auto grandchildren = treeChildren(ranked, ranked[0], children[1], 4);
     members.suspect(children[1], {});
-    std::set<std::string> served;
-    for (const auto& it : spread.onOffsetAdvanced(members, "", 0, 1, {}))
-        served.insert(it.peer);
+    std::set<std::string> forwardedTo;
+    for (const auto& it : disseminator.onOffsetAdvanced(members, "", 0, 1, {}))
+        forwardedTo.insert(it.peer);
     std::set<std::string> expected(children.begin(), children.end());
-    expected.insert(below.begin(), below.end());
-    REQUIRE(served == expected);
-    REQUIRE(below.size() == 4);
+    expected.insert(grandchildren.begin(), grandchildren.end());
+    REQUIRE(forwardedTo == expected);
+    REQUIRE(grandchildren.size() == 4);
 }
 
-TEST_CASE("Control traffic stays inside its budget, and changes still get through", "[control]")
+TEST_CASE("Control traffic stays within its budget, and changes still reach all nodes", "[control]")
 {
     ControlModel::Options options;
-    options.bytesPerSecond = 1; // far less than the digests and counts would take
+    options.bytesPerSecond = 1; // far less than digests and counts need
     ControlModel model(4, options);
     model.run(300s);
     model.appendChange(0, "services/a", 0);
@@ -256,7 +262,7 @@
         REQUIRE(double(bytes) <= options.bytesPerSecond * (600 + 10) + unbudgetedConfigBytes);
 }
 
-TEST_CASE("A wrong suspicion heals by itself", "[control]")
+TEST_CASE("A suspicion ends when it expires and when the host is heard from", "[control]")
 {
     Membership members({});
     members.applyPage({ 1, true, { { "a", "1", "h", "r", false }, { "b", "2", "h", "r", true } }, {} });
@@ -272,7 +278,7 @@
     REQUIRE(members.size() == 2);
 }
 
-TEST_CASE("Host changes are passed on as what changed, and add up to the same list", "[control]")
+TEST_CASE("The changes of the host list since a version, applied to a copy, give the same list", "[control]")
 {
     Membership source({});
     Membership copy({});
@@ -296,13 +302,13 @@
     }
 }
 
-TEST_CASE("A tree reaches each host once, whatever its root", "[control]")
+TEST_CASE("A tree reaches each host exactly once from any root", "[control]")
 {
     std::vector<std::string> names;
     for (int i = 0; i < 100; ++i)
         names.push_back("n" + std::to_string(i));
     const auto ranked = rankByHash(names, "hall");
-    for (const auto& root : { ranked[0], ranked[57], std::string("stranger") }) {
+    for (const auto& root : { ranked[0], ranked[57], std::string("unlisted") }) {
         std::set<std::string> reached { root };
         std::vector<std::string> unvisited { root };
         while (!unvisited.empty()) {
@@ -313,13 +319,13 @@
                 unvisited.push_back(it);
             }
         }
-        REQUIRE(reached.size() == (root == "stranger" ? 101 : 100));
+        REQUIRE(reached.size() == (root == "unlisted" ? 101 : 100));
     }
 }
 
-TEST_CASE("Counts are bounded and never overstate what is in force", "[control]")
+TEST_CASE("The number of counts is bounded, and no offset is overcounted", "[control]")
 {
-    InForceAggregator tree(10s);
+    InForceAggregator aggregator(10s);
     for (int i = 0; i < 40; ++i) {
         proto::InForce child;
         child.set_nodes(2);
@@ -328,9 +334,9 @@
         auto& it = *child.add_counts();
         it.set_next_offset(100 + i);
         it.set_nodes(2);
-        tree.recordReport("c" + std::to_string(i), child, {});
+        aggregator.recordReport("c" + std::to_string(i), child, {});
     }
-    const auto sum = tree.aggregate("self", 200, {}, {});
+    const auto sum = aggregator.aggregate("self", 200, {}, {});
     REQUIRE(sum.nodes() == 81);
     REQUIRE(sum.counts_size() == InForceAggregator::maxCounts);
     for (std::uint64_t offset = 100; offset <= 200; ++offset) {
@@ -340,5 +346,5 @@
         const std::uint32_t reached = 1 + (offset < 140 ? 2 * (140 - static_cast<std::uint32_t>(offset)) : 0);
         REQUIRE(counted <= reached);
     }
-    REQUIRE(tree.aggregate("self", 200, {}, Instant(11s)).nodes() == 1);
+    REQUIRE(aggregator.aggregate("self", 200, {}, Instant(11s)).nodes() == 1);
 }
--- a/test/OnceTest.cpp
+++ b/test/OnceTest.cpp
@@ -28,7 +28,7 @@
     return { { 0, key }, keyCreatedMs, { "u", 1, 0, { 0, nonce } } };
 }
 
-/// \brief Broken on purpose: the last claim wins.
+/// \brief Faulty on purpose: the last claim of a key wins, not the first.
 class LastWinsFold : public ClaimFold {
 public:
     LastWinsFold()
@@ -40,7 +40,7 @@
     void recordClaim(const Claim& it) override { m_winners[it.keyHash] = { it.ticket, it.keyCreatedMs }; }
 };
 
-/// \brief Broken on purpose: tickets of a former incarnation are taken.
+/// \brief Faulty on purpose: accepts tickets of former incarnations.
 class IncarnationBlindTable : public TicketTable {
 public:
     IncarnationBlindTable(std::string upstream, std::uint64_t incarnation, Instant now)
@@ -70,12 +70,12 @@
 
 } // namespace
 
-TEST_CASE("Nothing runs twice and no 'not run' is false, under random faults", "[once]")
+TEST_CASE("Under random faults no key runs twice and no call that ran is reported as not run", "[once]")
 {
     REQUIRE(countBadSchedules(OnceModel::correctParts(), 3000) == 0);
 }
 
-TEST_CASE("The same schedules catch parts that are broken on purpose", "[once]")
+TEST_CASE("The random schedules detect a faulty claim fold and a faulty ticket table", "[once]")
 {
     auto parts = OnceModel::correctParts();
     parts.makeFold = [] { return std::make_unique<LastWinsFold>(); };
@@ -87,7 +87,7 @@
     REQUIRE(countBadSchedules(parts, 300) > 0);
 }
 
-TEST_CASE("A ticket runs once; repeats join it, then get its record", "[once]")
+TEST_CASE("A ticket runs once; repeats join the running call, then get its recorded answer", "[once]")
 {
     Random random(1);
     TicketTable table("u", 7, {}, {});
@@ -104,7 +104,7 @@
     REQUIRE(table.beginCall(ticket, request, 4, {}).answer->body == "done");
 }
 
-TEST_CASE("A ticket given up before it ran may run later", "[once]")
+TEST_CASE("A ticket whose call was given up before it ran can run later", "[once]")
 {
     Random random(1);
     TicketTable table("u", 7, {}, {});
@@ -116,7 +116,7 @@
     REQUIRE(table.beginCall(ticket, {}, 2, {}).action == TicketAction::Run);
 }
 
-TEST_CASE("A ticket of another incarnation, or too old, is unknown for ever", "[once]")
+TEST_CASE("A ticket of another incarnation or past its retention is refused as unknown", "[once]")
 {
     Random random(1);
     TicketTable table("u", 7, { 60s, 10, 1000 }, {});
@@ -130,7 +130,7 @@
     REQUIRE(table.beginCall(ticket, {}, 2, Instant(659s)).action == TicketAction::Replay);
     REQUIRE(table.beginCall(ticket, {}, 2, Instant(660s)).reason == Reason::TicketUnknown);
     REQUIRE(table.size() == 0);
-    // Memory is bounded: new tickets are refused as not run, live records stay.
+    // A full table refuses new tickets as not run and keeps the records it has.
     const auto first = table.mint(random, Instant(700s));
     REQUIRE(table.beginCall(first, {}, 1, Instant(700s)).action == TicketAction::Run);
     table.recordAnswer(first.nonce, { true, 200, {}, std::string(1000, 'x') });
@@ -140,24 +140,24 @@
     REQUIRE(table.beginCall(first, {}, 3, Instant(700s)).action == TicketAction::Replay);
 }
 
-TEST_CASE("Tickets survive the way to the caller and back", "[once]")
+TEST_CASE("Parsing the text of a ticket gives the same ticket", "[once]")
 {
-    rc::prop("text and back", [](std::uint64_t a, std::uint64_t b, std::uint64_t c, std::uint64_t d) {
-        const Ticket ticket { "cards-1.riga", a, b, { c, d } };
-        RC_ASSERT(Ticket::parse(ticket.toString()).value() == ticket);
-    });
+    rc::prop("toString() and parse() are inverse",
+        [](std::uint64_t a, std::uint64_t b, std::uint64_t c, std::uint64_t d) {
+            const Ticket ticket { "cards-1.riga", a, b, { c, d } };
+            RC_ASSERT(Ticket::parse(ticket.toString()).value() == ticket);
+        });
     for (const auto* bad : { "", "x", "u.1.2.3", "u.1.2.3.zz", ".1.2.3.4" })
         REQUIRE_FALSE(Ticket::parse(bad).has_value());
 }
 
-TEST_CASE("The first claim by offset wins, and a losing claim wins nothing later", "[once]")
+TEST_CASE("The first claim by offset wins, also for a fold that starts after it was dropped", "[once]")
 {
     ClaimFold fold({ 600s, 2s });
     fold.applyPage(makePage(0, { makeClaim(1, 10), makeClaim(1, 11) }), baseWallMs);
     REQUIRE(fold.status({ 0, 1 }, baseWallMs, baseWallMs).winner.nonce.low == 10);
     REQUIRE(fold.status({ 0, 2 }, baseWallMs, baseWallMs).kind == ClaimStatus::Kind::Unclaimed);
-    // Another fold starts after the log forgot the first claim: it must not take
-    // the second for it.
+    // A fold that starts after the log has dropped the first claim must not take the second for the winner.
     ClaimFold late({ 600s, 2s });
     auto rest = makePage(1, { makeClaim(1, 11) });
     rest.first = 1;
@@ -167,7 +167,7 @@
     REQUIRE(late.status({ 0, 5 }, baseWallMs + 5000, baseWallMs + 5000).kind == ClaimStatus::Kind::Unclaimed);
 }
 
-TEST_CASE("A replaced log is read from its start and decides no older key", "[once]")
+TEST_CASE("A replaced log is read from its start and decides no key created before the replacement", "[once]")
 {
     ClaimFold fold({ 600s, 2s });
     fold.applyPage(makePage(0, { makeClaim(1, 10), makeClaim(2, 20) }), baseWallMs);
@@ -179,7 +179,7 @@
     REQUIRE(fold.status({ 0, 1 }, baseWallMs, baseWallMs + 5000).winner.nonce.low == 10);
 }
 
-TEST_CASE("Claims gather into few appends and give up in time", "[once]")
+TEST_CASE("Claims share one append, are sent again after a failed one, and time out as undecided", "[once]")
 {
     ClaimBatcher batcher({ 200, 3ms, 2s }, 1, "claims-0");
     for (std::uint64_t i = 1; i <= 100; ++i)
@@ -203,7 +203,7 @@
     REQUIRE(batcher.pendingCount() == 0);
 }
 
-TEST_CASE("A key tells its age, or is none", "[once]")
+TEST_CASE("The creation time is read from keys of both forms, and other keys are rejected", "[once]")
 {
     REQUIRE(keyCreationTimeMs("018bcfe5-6800-7abc-8def-0123456789ab") == 0x018bcfe56800);
     REQUIRE(keyCreationTimeMs("1700000000:order-7") == 1700000000000);
@@ -212,9 +212,9 @@
         REQUIRE_FALSE(keyCreationTimeMs(bad));
 }
 
-TEST_CASE("A doubled or far too old call number is refused", "[once]")
+TEST_CASE("A call number that was seen before or lies below the window is refused", "[once]")
 {
-    rc::prop("each number passes at most once", [](const std::vector<std::uint16_t>& numbers) {
+    rc::prop("each number is accepted at most once", [](const std::vector<std::uint16_t>& numbers) {
         SeenCalls seen(60s);
         std::set<std::uint64_t> passed;
         for (const auto it : numbers) {
--- a/test/support/ControlModel.cpp
+++ b/test/support/ControlModel.cpp
@@ -4,10 +4,10 @@
 namespace {
 
     constexpr Duration tickInterval = 100ms;
-    constexpr const char* stream = "config";
-    /// A new link stands after three round trips inside a hall.
+    constexpr const char* configStream = "config";
+    /// Three round trips inside a hall.
     constexpr Duration linkSetupTime = 3ms;
-    /// ZeroMQ's longest pause between two tries to connect to a node that was away.
+    /// The longest interval between ZeroMQ's attempts to reconnect to a node that was down.
     constexpr double maxReconnectSeconds = 2;
 
     proto::Resource exampleService(const std::string& name, std::uint32_t deadline)
@@ -26,7 +26,7 @@
 
 } // namespace
 
-/// \brief The shared log as one life of a node sees it: callbacks end with the life.
+/// \brief The shared log as seen by one process of a node; drops callbacks once the process has ended.
 class ControlModel::ProcessLog : public AppendLog {
 public:
     ProcessLog(FakeLog& log, std::shared_ptr<bool> processAlive, std::uint64_t& readCount)
@@ -60,7 +60,7 @@
     std::uint64_t* m_readCount;
 };
 
-/// \brief The platform's host list, as it was a while ago.
+/// \brief The platform's host list as seen by one process of a node.
 class ControlModel::ProcessHostList : public HostList {
 public:
     ProcessHostList(ControlModel& model, std::shared_ptr<bool> processAlive)
@@ -120,7 +120,7 @@
     auto& node = m_nodes[index];
     node.processAlive = std::make_shared<bool>(true);
     std::erase_if(m_links, [index](const auto& it) { return it.first.first == index; });
-    node.applied = 0;
+    node.appliedOffset = 0;
     node.appliedAt.clear();
     static const auto charts = loadCharts();
     node.context = std::make_unique<NodeContext>(NodeContext { {}, charts, nullptr, ++m_lastIncarnation, {},
@@ -141,10 +141,11 @@
         return send(index, address, message);
     };
     peers.answer = [this, index](const PeerSocket::Sender& to, proto::PeerMessage& message, Instant) {
-        const auto asker = m_nodeIndexByAddress.at(to.address);
-        const bool isSameProcess = isLive(asker) && m_nodes[asker].context->incarnation == to.incarnation;
+        const auto requester = m_nodeIndexByAddress.at(to.address);
+        const bool isSameProcess
+            = isLive(requester) && m_nodes[requester].context->incarnation == to.incarnation;
         if (isSameProcess)
-            transmit(index, asker, message);
+            transmit(index, requester, message);
         return isSameProcess;
     };
     node.plane = std::make_unique<ControlPlane>(*node.context, *node.log, *node.hosts, peers, m_loop.now());
@@ -177,10 +178,10 @@
 void ControlModel::onConfigChanged(std::size_t index)
 {
     auto& node = m_nodes[index];
-    const auto applied = node.plane->follower().nextOffset();
-    m_offsetDecreases += applied < node.applied;
-    node.applied = applied;
-    node.appliedAt.emplace(applied, m_loop.now());
+    const auto appliedOffset = node.plane->follower().nextOffset();
+    m_offsetDecreases += appliedOffset < node.appliedOffset;
+    node.appliedOffset = appliedOffset;
+    node.appliedAt.emplace(appliedOffset, m_loop.now());
 }
 
 SendResult ControlModel::send(std::size_t from, const std::string& address, const proto::PeerMessage& message)
@@ -223,11 +224,12 @@
     m_sentBytes += message.ByteSizeLong();
     m_sentBytesByNode[from] += message.ByteSizeLong();
     if (isCut || m_random.chance(m_options.lossProbability))
-        return; // it is gone, and nobody knows
-    const PeerSocket::Sender who { sender.name, sender.address, sender.context->incarnation, sender.name };
+        return; // lost; the sender isn't told
+    const PeerSocket::Sender senderInfo { sender.name, sender.address, sender.context->incarnation,
+        sender.name };
     const auto arrival
         = m_loop.now() + fromSeconds(m_random.exponential(sender.region == target.region ? 0.001 : 0.03));
-    m_loop.at(arrival, [this, to, who, message] { deliver(to, who, message); });
+    m_loop.at(arrival, [this, to, senderInfo, message] { deliver(to, senderInfo, message); });
 }
 
 void ControlModel::deliver(
@@ -252,17 +254,18 @@
 std::string ControlModel::appendChange(std::size_t index, const std::string& name, std::uint64_t base)
 {
     proto::ChangeRecord change;
-    change.set_id(m_nodes[index].name + "-" + std::to_string(++m_writeCount));
+    change.set_id(m_nodes[index].name + "-" + std::to_string(++m_changeCount));
     change.set_who("operator-" + std::to_string(index));
     change.set_base_version(base);
-    *change.mutable_put() = exampleService(name, static_cast<std::uint32_t>(1000 + m_writeCount));
-    m_log.append(stream, change.SerializeAsString(), [](const Result<std::uint64_t, PlatformError>&) {});
+    *change.mutable_put() = exampleService(name, static_cast<std::uint32_t>(1000 + m_changeCount));
+    m_log.append(
+        configStream, change.SerializeAsString(), [](const Result<std::uint64_t, PlatformError>&) {});
     return change.id();
 }
 
 bool ControlModel::hasConverged()
 {
-    const auto end = m_log.page(stream, UINT64_MAX, 0).end;
+    const auto end = m_log.page(configStream, UINT64_MAX, 0).end;
     std::optional<std::uint64_t> digest;
     for (const auto& it : m_nodes) {
         if (!it.plane)
--- a/test/support/ControlModel.h
+++ b/test/support/ControlModel.h
@@ -12,10 +12,10 @@
 
 namespace robinrun::support {
 
-/// \brief Many control planes in virtual time over one fake log, one lagging host list and a fake network.
+/// \brief Runs the control planes of many nodes in virtual time over a fake log, host list and network.
 ///
-/// The nodes' own code runs; only the log, the list and the links are fakes. The same seed gives the same
-/// run.
+/// The control planes are the real code; only the log, the host list and the links between nodes are fakes.
+/// The same seed gives the same run.
 class ControlModel {
 public:
     struct Options {
@@ -23,8 +23,8 @@
         int hallsPerRegion = 2;
         int nodesPerHall = 6;
         FakeLog::Faults logFaults {};
-        double lossProbability = 0.02; ///< of messages between nodes
-        double bytesPerSecond = 7000; ///< budget of a node's control traffic
+        double lossProbability = 0.02; ///< of each message between nodes
+        double bytesPerSecond = 7000; ///< each node's budget of control traffic
     };
 
     ControlModel(std::uint64_t seed, Options options);
@@ -36,32 +36,33 @@
 
     void run(Duration length) { m_loop.run(m_loop.now() + length); }
 
-    /// \brief Appends a change written through node \a index. \returns its id.
+    /// \brief Appends a change of service \a name with base version \a base to the log, as node \a index.
+    /// \returns the id of the change.
     std::string appendChange(std::size_t index, const std::string& name, std::uint64_t base);
 
     void stop(std::size_t index);
     void start(std::size_t index);
-    /// \brief The node neither reads nor sends until \a end; what was sent to it comes late.
+    /// \brief Pauses the node until \a end: it does no timed work, and messages to it arrive only then.
     void pause(std::size_t index, Instant end) { m_nodes[index].pausedUntil = end; }
-    /// \brief Cuts a region's links to the others until \a end.
+    /// \brief Drops all messages between a region and the others until \a end.
     void cutRegion(int region, Instant end);
 
     bool isLive(std::size_t index) const { return m_nodes[index].plane != nullptr; }
     const ControlPlane& plane(std::size_t index) const { return *m_nodes[index].plane; }
     ControlPlane& plane(std::size_t index) { return *m_nodes[index].plane; }
 
-    /// \returns whether all live nodes have the same state, up to the end of the log.
+    /// \returns whether all running nodes have applied the whole log and have equal states.
     bool hasConverged();
 
+    /// \returns how often the applied offset of a running node has decreased; must be 0.
     int offsetDecreases() const { return m_offsetDecreases; }
     std::uint64_t sentMessages() const { return m_sentMessages; }
     std::uint64_t sentBytes() const { return m_sentBytes; }
-    /// \returns what each node has sent.
+    /// \returns the bytes that each node has sent, by node index.
     const std::map<std::size_t, std::uint64_t>& sentBytesByNode() const { return m_sentBytesByNode; }
     std::uint64_t logReadCount() const { return m_logReadCount; }
 
-    /// \returns the time from the append of each offset until node \a index applied it; nothing where it has
-    /// not.
+    /// \returns when node \a index applied the record at \a offset; nothing if it has not.
     std::optional<Instant> appliedAt(std::size_t index, std::uint64_t offset) const;
 
 private:
@@ -75,18 +76,19 @@
         std::unique_ptr<AppendLog> log;
         std::unique_ptr<HostList> hosts;
         std::unique_ptr<ControlPlane> plane;
-        std::shared_ptr<bool> processAlive;
+        std::shared_ptr<bool> processAlive; ///< made at each start; false after the stop
         Instant pausedUntil {};
-        std::uint64_t applied = 0;
-        std::map<std::uint64_t, Instant> appliedAt; ///< next offset: first time
+        std::uint64_t appliedOffset = 0;
+        std::map<std::uint64_t, Instant> appliedAt; ///< by applied offset: when it was reached
     };
 
-    /// \brief The link of one node to another: its first message comes too early, and so do those after a
-    /// restart of the other one until the link has noticed.
+    /// \brief The link of one node to another. It must connect before it carries messages, both at first use
+    /// and after a restart of the other node.
     struct Link {
-        std::shared_ptr<bool> connectedProcess; ///< of the other node, when it stood last; null if never
-        std::shared_ptr<bool>
-            connectingProcess; ///< life of the other node that it is connecting to; null if none yet
+        /// The process of the other node that got the last message; null before the first message.
+        std::shared_ptr<bool> connectedProcess;
+        /// The process of the other node that the link is reconnecting to; null before the first reconnect.
+        std::shared_ptr<bool> connectingProcess;
         Instant usableFrom {};
     };
 
@@ -109,7 +111,7 @@
     std::map<std::string, HostEntry> m_hostEntries;
     std::uint64_t m_hostListVersion = 1;
     std::uint64_t m_lastIncarnation = 0;
-    std::uint64_t m_writeCount = 0;
+    std::uint64_t m_changeCount = 0;
     int m_offsetDecreases = 0;
     std::uint64_t m_sentMessages = 0;
     std::uint64_t m_sentBytes = 0;
--- a/test/support/OnceModel.cpp
+++ b/test/support/OnceModel.cpp
@@ -9,7 +9,8 @@
     constexpr int ownerCount = 3;
     constexpr int homeCount = 2;
     constexpr Duration scheduleLength = 4s;
-    constexpr Duration ingressTimeout = 800ms; ///< an ingress answers its caller within this
+    /// An ingress reports an outcome to its caller within this time.
+    constexpr Duration ingressTimeout = 800ms;
     constexpr Duration tickInterval = 5ms;
     constexpr const char* claimStream = "claims";
 
@@ -73,14 +74,14 @@
 {
     const auto randomTime
         = [this] { return Instant(fromSeconds(m_random.unit() * toSeconds(scheduleLength))); };
-    for (int key = 0; key < keyCount; ++key) {
-        m_keys[key].usesTicket = m_random.chance(0.3);
-        const auto first = randomTime();
-        m_keys[key].keyCreatedMs = FakeLog::epochMs + first.time_since_epoch().count() / 1000;
+    for (int keyIndex = 0; keyIndex < keyCount; ++keyIndex) {
+        m_keys[keyIndex].usesTicket = m_random.chance(0.3);
+        const auto firstTime = randomTime();
+        m_keys[keyIndex].keyCreatedMs = FakeLog::epochMs + firstTime.time_since_epoch().count() / 1000;
         const auto attemptCount = 1 + m_random.below(4);
         for (std::size_t i = 0; i < attemptCount; ++i)
-            m_loop.at(
-                first + fromSeconds(m_random.exponential(0.3)) * (i > 0), [this, key] { startAttempt(key); });
+            m_loop.at(firstTime + fromSeconds(m_random.exponential(0.3)) * (i > 0),
+                [this, keyIndex] { startAttempt(keyIndex); });
     }
     for (std::size_t i = 0; i < m_homes.size(); ++i) {
         m_loop.at(Instant(tickInterval), [this, i] { tickHome(i); });
@@ -121,9 +122,9 @@
     home.isReadInFlight = false;
 }
 
-Hash128 OnceModel::keyHash(int key) const
+Hash128 OnceModel::keyHash(int keyIndex) const
 {
-    return { 1, static_cast<std::uint64_t>(key) };
+    return { 1, static_cast<std::uint64_t>(keyIndex) };
 }
 
 OnceModel::Owner* OnceModel::findOwner(const Ticket& ticket)
@@ -133,16 +134,16 @@
     return it == m_owners.end() ? nullptr : &*it;
 }
 
-void OnceModel::startAttempt(int key)
+void OnceModel::startAttempt(int keyIndex)
 {
     const int attempt = static_cast<int>(m_attempts.size());
     m_attempts.push_back({});
-    m_attempts[attempt].keyIndex = key;
+    m_attempts[attempt].keyIndex = keyIndex;
     m_loop.after(ingressTimeout, [this, attempt] {
         reportOutcome(attempt, m_attempts[attempt].isSentToOwner ? proto::UNKNOWN : proto::NOT_RUN);
     });
-    if (m_keys[key].usesTicket && m_keys[key].ticket)
-        return sendCall(attempt, *m_keys[key].ticket);
+    if (m_keys[keyIndex].usesTicket && m_keys[keyIndex].ticket)
+        return sendCall(attempt, *m_keys[keyIndex].ticket);
     auto& owner = m_owners[m_random.below(m_owners.size())];
     deliverUnreliably([this, attempt, &owner] {
         const auto ticket = owner.table->mint(m_random, m_loop.now());
@@ -150,21 +151,21 @@
             auto& it = m_attempts[attempt];
             if (it.isAnswered || it.isSentToOwner)
                 return;
-            auto& known = m_keys[it.keyIndex];
-            if (!known.usesTicket)
+            auto& keyState = m_keys[it.keyIndex];
+            if (!keyState.usesTicket)
                 return requestClaim(attempt, ticket);
-            if (!known.ticket)
-                known.ticket = ticket;
-            sendCall(attempt, *known.ticket);
+            if (!keyState.ticket)
+                keyState.ticket = ticket;
+            sendCall(attempt, *keyState.ticket);
         });
     });
 }
 
 void OnceModel::requestClaim(int attempt, const Ticket& minted)
 {
-    const int key = m_attempts[attempt].keyIndex;
-    const Claim claim { keyHash(key), m_keys[key].keyCreatedMs, minted };
-    // Views of the members differ: any home may be asked, now and then both.
+    const int keyIndex = m_attempts[attempt].keyIndex;
+    const Claim claim { keyHash(keyIndex), m_keys[keyIndex].keyCreatedMs, minted };
+    // Nodes may differ in their view of the members, so either home may get the request.
     auto& home = m_homes[m_random.below(m_homes.size())];
     deliverUnreliably([this, attempt, claim, &home] {
         requestDecision(home, claim, [this, attempt](const ClaimDecision& decision) {
@@ -219,11 +220,11 @@
     readClaimStream(home);
     if (home.fold->hasAppliedPage()) {
         if (const auto batch = home.batcher->takeNextBatch(m_loop.now())) {
-            const auto onAppended = [this, &home, restartCount = home.restartCount, id = batch->id](
+            const auto onAppended = [this, &home, restartCount = home.restartCount, batchId = batch->id](
                                         const Result<std::uint64_t, PlatformError>& offset) {
                 const bool isCertain = !offset && offset.error().kind != PlatformErrorKind::Uncertain;
                 if (restartCount == home.restartCount && isCertain)
-                    home.batcher->onAppendFailed(id, m_loop.now());
+                    home.batcher->onAppendFailed(batchId, m_loop.now());
             };
             m_log.append(claimStream, batch->serialize(), onAppended);
         }
@@ -247,12 +248,12 @@
 {
     if (!owner.seenCalls.isNew(1, static_cast<std::uint64_t>(attempt) + 1, m_loop.now()))
         return;
-    const int key = m_attempts[attempt].keyIndex;
-    const auto id = ++m_lastCallId;
-    const auto decision = owner.table->beginCall(ticket, keyHash(key), id, m_loop.now());
+    const int keyIndex = m_attempts[attempt].keyIndex;
+    const auto callId = ++m_lastCallId;
+    const auto decision = owner.table->beginCall(ticket, keyHash(keyIndex), callId, m_loop.now());
     switch (decision.action) {
     case TicketAction::Refuse:
-        return sendAnswer(attempt, decision.isNotRun ? proto::NOT_RUN : proto::UNKNOWN, key);
+        return sendAnswer(attempt, decision.isNotRun ? proto::NOT_RUN : proto::UNKNOWN, keyIndex);
     case TicketAction::Replay:
         return sendAnswer(attempt, decision.answer->isOutcomeKnown ? proto::ANSWERED : proto::UNKNOWN,
             std::atoi(decision.answer->body.c_str()));
@@ -262,42 +263,42 @@
     case TicketAction::Run:
         break;
     }
-    owner.waitingAttempts[id].push_back(attempt);
+    owner.waitingAttempts[callId].push_back(attempt);
     const auto incarnation = owner.incarnation;
-    m_loop.after(networkDelay(), [this, &owner, id, attempt, ticket, incarnation] {
+    m_loop.after(networkDelay(), [this, &owner, callId, attempt, ticket, incarnation] {
         if (owner.incarnation == incarnation)
-            runCall(owner, id, attempt, ticket);
+            runCall(owner, callId, attempt, ticket);
     });
 }
 
-void OnceModel::runCall(Owner& owner, std::uint64_t id, int attempt, const Ticket& ticket)
+void OnceModel::runCall(Owner& owner, std::uint64_t callId, int attempt, const Ticket& ticket)
 {
     constexpr double refusalProbability = 0.15;
     constexpr double unknownOutcomeProbability = 0.1;
-    const int key = m_attempts[attempt].keyIndex;
+    const int keyIndex = m_attempts[attempt].keyIndex;
     if (m_random.chance(refusalProbability)) {
         owner.table->releaseTicket(ticket.nonce);
-        for (const int it : owner.waitingAttempts[id])
-            sendAnswer(it, proto::NOT_RUN, key);
-        owner.waitingAttempts.erase(id);
+        for (const int it : owner.waitingAttempts[callId])
+            sendAnswer(it, proto::NOT_RUN, keyIndex);
+        owner.waitingAttempts.erase(callId);
         return;
     }
-    ++m_keys[key].runCount;
+    ++m_keys[keyIndex].runCount;
     m_attempts[attempt].hasRun = true;
     if (m_attempts[attempt].wasReportedNotRun)
         ++m_verdict.falseNotRun;
-    const bool isKnown = !m_random.chance(unknownOutcomeProbability);
+    const bool isOutcomeKnown = !m_random.chance(unknownOutcomeProbability);
     const auto incarnation = owner.incarnation;
-    m_loop.after(networkDelay(), [this, &owner, id, key, ticket, isKnown, incarnation] {
+    m_loop.after(networkDelay(), [this, &owner, callId, keyIndex, ticket, isOutcomeKnown, incarnation] {
         if (owner.incarnation != incarnation)
-            return; // the owner that waited for it is gone
-        RecordedAnswer record;
-        record.isOutcomeKnown = isKnown;
-        record.body = std::to_string(key);
-        owner.table->recordAnswer(ticket.nonce, record);
-        for (const int it : owner.waitingAttempts[id])
-            sendAnswer(it, isKnown ? proto::ANSWERED : proto::UNKNOWN, key);
-        owner.waitingAttempts.erase(id);
+            return; // the owner has restarted and lost the call
+        RecordedAnswer answer;
+        answer.isOutcomeKnown = isOutcomeKnown;
+        answer.body = std::to_string(keyIndex);
+        owner.table->recordAnswer(ticket.nonce, answer);
+        for (const int it : owner.waitingAttempts[callId])
+            sendAnswer(it, isOutcomeKnown ? proto::ANSWERED : proto::UNKNOWN, keyIndex);
+        owner.waitingAttempts.erase(callId);
     });
 }
 
--- a/test/support/OnceModel.h
+++ b/test/support/OnceModel.h
@@ -18,11 +18,11 @@
 
 namespace robinrun::support {
 
-/// \brief What a schedule of faults came to.
+/// \brief The result of one run of OnceModel.
 struct OnceVerdict {
     int keysRunTwice = 0; ///< must be 0
-    int falseNotRun = 0; ///< attempts told "not run" that ran; must be 0
-    int foreignAnswers = 0; ///< answers of another key's run; must be 0
+    int falseNotRun = 0; ///< attempts that ran and were reported as not run; must be 0
+    int foreignAnswers = 0; ///< attempts that got the answer of another key; must be 0
     int answered = 0;
     int notRun = 0;
     int unknown = 0;
@@ -30,21 +30,24 @@
     bool hasNoViolation() const { return !keysRunTwice && !falseNotRun && !foreignAnswers; }
 };
 
-/// \brief The at-most-once parts under one random schedule: real tables, folds and batchers; fake network and
-/// log.
+/// \brief Runs the real ticket tables, claim folds and claim batchers over a fake network and a fake log,
+/// under one random schedule of calls and faults.
 ///
-/// Several callers repeat their keyed or ticketed calls through several ingresses; messages are delayed,
-/// lost, doubled and reordered; homes are paused, doubled and restarted; owners restart; the log has outages,
-/// loses replies, takes appends late and forgets. The same seed gives the same schedule.
+/// Callers repeat calls with an idempotency key or a ticket through several ingresses. Messages are delayed,
+/// lost, duplicated and reordered. Homes (the nodes that decide claims) are paused and restarted, and both
+/// decide claims of the same stream. Owners restart. The log has outages, loses replies, applies appends late
+/// and drops records. The same seed gives the same schedule.
 class OnceModel {
 public:
-    /// \brief Makes the parts; a test may hand in broken ones to see that the verdict catches them.
+    /// \brief Factories of the parts under test. A test passes faulty ones to check that the verdict detects
+    /// them.
     struct Parts {
         std::function<std::unique_ptr<TicketTable>(
             std::string upstream, std::uint64_t incarnation, Instant now)>
             makeTable;
         std::function<std::unique_ptr<ClaimFold>()> makeFold;
     };
+    /// \returns factories of the real parts.
     static Parts correctParts();
 
     OnceModel(std::uint64_t seed, Parts parts);
@@ -56,26 +59,29 @@
         std::uint64_t incarnation = 0;
         std::unique_ptr<TicketTable> table;
         SeenCalls seenCalls { 60s };
-        std::map<std::uint64_t, std::vector<int>> waitingAttempts; ///< call in hand: attempts to answer
+        /// The attempts to answer when a call has ended, by the id of the call.
+        std::map<std::uint64_t, std::vector<int>> waitingAttempts;
     };
+    /// \brief A node that decides claims.
     struct Home {
         std::unique_ptr<ClaimFold> fold;
         std::unique_ptr<ClaimBatcher> batcher;
         std::map<std::uint64_t, std::function<void(ClaimDecision)>> decisionCallbacks;
         std::uint64_t lastRequestId = 0;
-        std::uint64_t restartCount = 0; ///< rises with each restart
+        std::uint64_t restartCount = 0; ///< callbacks of a former process compare it and return
         Instant pausedUntil {};
         bool isReadInFlight = false;
     };
-    /// One sending of a call by its caller.
+    /// \brief One request of a caller for a call; a repeat of the call is another attempt.
     struct Attempt {
         int keyIndex = 0;
         bool isAnswered = false;
         bool isTold = false;
         bool wasReportedNotRun = false;
-        bool isSentToOwner = false; ///< sent to an owner: no longer provably not run
+        bool isSentToOwner = false; ///< after that the call may have run
         bool hasRun = false;
     };
+    /// \brief A call that callers repeat with the same idempotency key, or with the same ticket.
     struct KeyState {
         bool usesTicket = false;
         std::optional<Ticket> ticket;
@@ -83,23 +89,25 @@
         int runCount = 0;
     };
 
+    // Attempts and keys are passed as indices of m_attempts and m_keys.
+
     Duration networkDelay();
-    /// \brief Delivers \a f after a random delay; perhaps never, perhaps twice.
+    /// \brief Sends a message: runs \a f after a random delay, or never, or twice.
     void deliverUnreliably(const std::function<void()>& f);
     void scheduleCallsAndFaults();
-    void startAttempt(int key);
+    void startAttempt(int keyIndex);
     void requestClaim(int attempt, const Ticket& minted);
     void requestDecision(Home& home, const Claim& claim, std::function<void(ClaimDecision)> decided);
     void tickHome(std::size_t index);
     void readClaimStream(Home& home);
     void sendCall(int attempt, const Ticket& ticket);
     void receiveCall(Owner& owner, int attempt, const Ticket& ticket);
-    void runCall(Owner& owner, std::uint64_t id, int attempt, const Ticket& ticket);
+    void runCall(Owner& owner, std::uint64_t callId, int attempt, const Ticket& ticket);
     void sendAnswer(int attempt, proto::Outcome outcome, int answeredKey);
     void reportOutcome(int attempt, proto::Outcome outcome);
     void restart(Owner& owner);
     void restart(Home& home);
-    Hash128 keyHash(int key) const;
+    Hash128 keyHash(int keyIndex) const;
     Owner* findOwner(const Ticket& ticket);
 
     VirtualLoop m_loop;
