--- a/src/Queueing/Admission.h
+++ b/src/Queueing/Admission.h
@@ -74,8 +74,8 @@
         double slotShare = 1; ///< of the slots; used by the Fixed limit and initially by the Stepwise limit
         std::size_t queueLimit = 256; ///< waiting calls at most
         Duration initialSlotTime = 10ms; ///< estimate before any call has ended
-        /// CoDel target and interval, in mean slot times: a queue that a few calls fill is a burst, a longer
-        /// one is a standing queue.
+        /// Target and interval of SojournControl, in mean slot times. They scale with the slot time because a
+        /// wait of a few slot times is a burst and a longer one a standing queue.
         int sojournTargetSlotTimes = 3;
         int sojournIntervalSlotTimes = 20;
         /// A call without a soft deadline is refused on arrival if its expected wait exceeds this many mean
--- a/src/Queueing/Refusal.h
+++ b/src/Queueing/Refusal.h
@@ -12,11 +12,11 @@
 /// The numeric values are part of the wire format: new enumerators are only appended.
 enum class Reason {
     None,
-    QueueFull,
-    OverShare,
+    QueueFull, ///< the queue is full, or the expected wait is too long
+    OverShare, ///< evicted from the full queue, as its group has the most waiting calls per weight
     WouldMissDeadline,
     DeadlinePassed,
-    StoodTooLong,
+    StoodTooLong, ///< the queue of its group is a standing queue; see SojournControl
     Leaving,
     Cancelled,
     WrongOwner,
