--- a/src/Queueing/WorkClock.h
+++ b/src/Queueing/WorkClock.h
@@ -7,19 +7,19 @@
 
 namespace robinrun {
 
-/// \brief Counts the work that a backend server gets done on one call: time, but slower while it tells of a
-/// slow-down.
+/// \brief A clock that advances by the work that a backend server does on one call.
 ///
-/// The difference of two readings is the time that the same work would have taken on a calm server. Right
-/// only as far as slow-downs are told, and told soon. Cost: O(1).
+/// It runs slower than real time by the slowdown factor that the server reports, so the difference of two
+/// readings is the time that the same work takes without a slowdown. It is accurate only if the server
+/// reports slowdowns, and does so promptly. Cost: O(1).
 class WorkClock {
 public:
-    /// \brief From \a now on work takes \a slowdown times as long.
-    /// \returns the length of the slow phase that has ended with this; nothing if none has.
-    std::optional<Duration> told(double slowdown, Instant now)
+    /// \brief Records that work takes \a slowdown times as long from \a now on; factors below 1 count as 1.
+    /// \returns the duration of the slow phase that this ends; nothing if it ends none.
+    std::optional<Duration> setSlowdown(double slowdown, Instant now)
     {
-        m_done = read(now);
-        m_at = now;
+        m_workDone = read(now);
+        m_updatedAt = now;
         const bool wasSlow = isSlow();
         m_slowdown = slowdown < 1 ? 1 : slowdown;
         if (isSlow() && !wasSlow)
@@ -29,10 +29,11 @@
         return now - m_slowSince;
     }
 
-    /// \returns the work done since the clock began.
+    /// \returns the work done by \a now, as the time that it takes without a slowdown.
     Duration read(Instant now) const
     {
-        return m_done + (now > m_at ? fromSeconds(toSeconds(now - m_at) / m_slowdown) : Duration::zero());
+        return m_workDone
+            + (now > m_updatedAt ? fromSeconds(toSeconds(now - m_updatedAt) / m_slowdown) : Duration::zero());
     }
 
     double slowdown() const { return m_slowdown; }
@@ -40,8 +41,8 @@
 
 private:
     double m_slowdown = 1;
-    Duration m_done {};
-    Instant m_at {};
+    Duration m_workDone {};
+    Instant m_updatedAt {};
     Instant m_slowSince {};
 };
 
--- a/src/Routing/ChoicePolicy.h
+++ b/src/Routing/ChoicePolicy.h
@@ -3,7 +3,7 @@
 #include "Core/EnumNames.h"
 #include "Core/Random.h"
 #include "Core/Time.h"
-#include "Queueing/WorkEstimate.h"
+#include "Queueing/ClassSlotTimeEstimate.h"
 #include "Routing/LatenessEstimate.h"
 #include "Routing/UpstreamView.h"
 
@@ -38,7 +38,7 @@
     Instant now {};
     std::uint32_t group = 0;
     Duration remainingTargetLatency {}; ///< time left until the target latency; 0: the call has no target
-    WorkEstimate workEstimate {}; ///< slot times of the calls of the class
+    ClassSlotTimeEstimate workEstimate {}; ///< slot times of the calls of the class
     /// Lateness of the answers of the class. Required if the call has a target latency.
     const LatenessEstimate* latenessEstimate = nullptr;
     /// Bytes of a call of the class and its answer, divided by those of a mean call.
--- a/src/Routing/ServiceRouter.cpp
+++ b/src/Routing/ServiceRouter.cpp
@@ -96,7 +96,7 @@
 
 void ServiceRouter::recordSlotTime(std::string_view callClass, Duration slotTime, double slowdown)
 {
-    estimatesOf(callClass).work.add(slotTime, slowdown);
+    estimatesOf(callClass).work.addSample(slotTime, slowdown);
 }
 
 void ServiceRouter::recordResponseTime(std::string_view callClass, Duration actual, Duration expected)
@@ -116,16 +116,16 @@
 {
     const auto it = m_estimatesByClass.find(callClass);
     const auto fallback = fromSeconds(toSeconds(targetLatency) * defaultSlotTimeShare);
-    return it == m_estimatesByClass.end() ? fallback : it->second.work.of(1).value_or(fallback);
+    return it == m_estimatesByClass.end() ? fallback : it->second.work.expectedSlotTime(1).value_or(fallback);
 }
 
 ChoiceInput ServiceRouter::choiceInputFor(const CallProfile& profile, Instant now) const
 {
     const auto it = m_estimatesByClass.find(profile.callClass);
     const bool hasEstimates = it != m_estimatesByClass.end();
-    WorkEstimate work;
+    ClassSlotTimeEstimate work;
     if (!hasEstimates)
-        work.add(expectedSlotTime(profile.callClass, profile.remainingTargetLatency), 1);
+        work.addSample(expectedSlotTime(profile.callClass, profile.remainingTargetLatency), 1);
     return { m_views, m_candidates, now, profile.group, profile.remainingTargetLatency,
         hasEstimates ? it->second.work : work, hasEstimates ? &it->second.lateness : &m_defaultLateness,
         profile.relativeBytes };
@@ -165,7 +165,7 @@
         return;
     if (const auto slowPhase = view->onLoadReport(report))
         m_remainingTime.addSlowPhase(*slowPhase);
-    if (report.load.isDown)
+    if (report.load.isUnreachable)
         pauseLostUpstream(*view, now);
     else if (view->state() == UpstreamState::Lost)
         reactivate(upstream, now);
--- a/src/Routing/ServiceRouter.h
+++ b/src/Routing/ServiceRouter.h
@@ -207,7 +207,7 @@
     ChoiceInput choiceInputFor(const CallProfile& profile, Instant now) const;
     /// \brief Estimates for the calls of one class.
     struct ClassEstimates {
-        WorkEstimate work;
+        ClassSlotTimeEstimate work;
         LatenessEstimate lateness;
     };
     ClassEstimates& estimatesOf(std::string_view callClass);
--- a/src/Routing/UpstreamView.h
+++ b/src/Routing/UpstreamView.h
@@ -62,7 +62,7 @@
     std::optional<Duration> onLoadReport(const OwnerReport& report)
     {
         m_report = report;
-        return m_workClock.told(report.load.slowdown, report.receivedAt);
+        return m_workClock.setSlowdown(report.load.slowdown, report.receivedAt);
     }
 
     /// \returns how long a call that is sent now waits because the owner paces the calls to a cold backend
