--- a/src/Node/OperatorJson.cpp
+++ b/src/Node/OperatorJson.cpp
@@ -17,8 +17,8 @@
             && follower.knownLogEnd() <= follower.nextOffset();
         out << "{\"node\":\"" << context.settings.name << "\",\"incarnation\":\"" << context.incarnation
             << "\",\"state\":\"" << nameOf(facts.state) << "\",\"upstream\":\"" << context.settings.upstream
-            << "\",\"upstream_state\":\"" << facts.upstreamState << "\",\"slots\":" << facts.load.slots
-            << ",\"in_use\":" << facts.load.inUse << ",\"waiting\":" << facts.load.waiting
+            << "\",\"upstream_state\":\"" << facts.upstreamState << "\",\"slots\":" << facts.load.slotLimit
+            << ",\"in_use\":" << facts.load.slotsInUse << ",\"waiting\":" << facts.load.waitingCalls
             << ",\"applied\":" << follower.nextOffset() << ",\"log\":\"" << nameOf(follower.logState())
             << "\",\"log_id\":\"" << escapeJson(follower.logId())
             << "\",\"known_end\":" << follower.knownLogEnd()
--- a/src/Routing/ChoicePolicy.cpp
+++ b/src/Routing/ChoicePolicy.cpp
@@ -20,28 +20,28 @@
     {
         if (!view.report())
             return view.inFlight();
-        return view.report()->load.inUse + view.report()->load.waiting;
+        return view.report()->load.slotsInUse + view.report()->load.waitingCalls;
     }
 
     double reportedSlotSeconds(const UpstreamView& view)
     {
-        return view.report() ? toSeconds(view.report()->load.service) : 0;
+        return view.report() ? toSeconds(view.report()->load.meanSlotTime) : 0;
     }
 
     /// \returns the candidate with the least score; breaks ties at random.
     template <class Score>
     std::size_t candidateWithLeastScore(std::span<const std::size_t> candidates, Random& random, Score score)
     {
-        double least = std::numeric_limits<double>::infinity();
+        double leastScore = std::numeric_limits<double>::infinity();
         std::size_t best = candidates.front();
         std::size_t ties = 0;
         for (const auto it : candidates) {
-            const double itScore = score(it);
-            if (itScore < least) {
-                least = itScore;
+            const double candidateScore = score(it);
+            if (candidateScore < leastScore) {
+                leastScore = candidateScore;
                 best = it;
                 ties = 1;
-            } else if (itScore == least && random.below(++ties) == 0) {
+            } else if (candidateScore == leastScore && random.below(++ties) == 0) {
                 best = it;
             }
         }
@@ -177,18 +177,19 @@
     const double slots = std::max(1U, view.slots());
     double otherCalls = 0;
     double slowdown = 1;
-    Duration slotTime = input.workEstimate.of(1).value_or(Duration::zero());
+    Duration slotTime = input.workEstimate.expectedSlotTime(1).value_or(Duration::zero());
     if (const auto& report = view.report()) {
         const auto age = input.now - report->receivedAt;
         const double reportedCalls
-            = double(report->load.inUse) + report->queuedCalls - report->callsOfThisIngress;
+            = double(report->load.slotsInUse) + report->queuedCalls - report->callsOfThisIngress;
         otherCalls = std::max(0.0, reportedCalls) * freshness(age, options.loadDecayTime);
         slowdown += (report->load.slowdown - 1) * freshness(age, options.slowdownDecayTime);
-        slotTime = report->load.service;
+        slotTime = report->load.meanSlotTime;
     }
     const double calls = view.inFlight() + otherCalls;
     const double waitSeconds = toSeconds(slotTime) * std::max(0.0, calls + 1 - slots) / slots;
-    const double workSeconds = toSeconds(input.workEstimate.of(1).value_or(Duration::zero())) * slowdown;
+    const double workSeconds
+        = toSeconds(input.workEstimate.expectedSlotTime(1).value_or(Duration::zero())) * slowdown;
     return view.roundTrip() + std::max(fromSeconds(waitSeconds), view.coldStartWait(input.now))
         + fromSeconds(workSeconds);
 }
