--- a/src/Node/IngressEnd.cpp
+++ b/src/Node/IngressEnd.cpp
@@ -124,7 +124,7 @@
     const auto* view = m_routers.at(call.request.service)->findView(upstream);
     const auto& report = *view->report();
     const auto wait = view->coldStartWait(now);
-    const auto coldLeft = std::max(report.load.coldFor - (now - report.receivedAt), wait);
+    const auto coldLeft = std::max(report.load.remainingWarmUp - (now - report.receivedAt), wait);
     call.trail.setNotable();
     call.trail.add({ RequestEvent::UpstreamCold, now, upstream, 0, Reason::WarmingUp,
         { { "wait_ms", wait.count() / 1000 }, { "cold_ms", coldLeft.count() / 1000 },
--- a/src/Routing/UpstreamView.cpp
+++ b/src/Routing/UpstreamView.cpp
@@ -40,10 +40,10 @@
 {
     onAttemptAbandoned(group);
     auto& groupLoad = m_loadByGroup[group];
-    groupLoad.waiting = report.load.waiting;
+    groupLoad.waiting = report.load.waitingCalls;
     groupLoad.callsOfThisIngress = report.callsOfThisIngress;
     const auto slowPhase = onLoadReport(report);
-    m_consecutiveLateAnswers = 0;
+    m_consecutiveLateAttempts = 0;
     m_isOnTrial = false;
     m_pausedUntil = {};
     m_failureShare.add(isFailure ? 1 : 0);
@@ -74,7 +74,7 @@
 {
     if (!m_report)
         return 0;
-    double total = m_report->load.inUse;
+    double total = m_report->load.slotsInUse;
     const auto it = m_loadByGroup.find(group);
     if (it != m_loadByGroup.end())
         total += double(it->second.waiting) - it->second.callsOfThisIngress;
@@ -91,15 +91,15 @@
 
 Duration UpstreamView::coldStartWait(Instant now) const
 {
-    if (!m_report || m_report->load.coldPerSecond <= 0)
+    if (!m_report || m_report->load.warmUpCallsPerSecond <= 0)
         return Duration::zero();
     const auto age = now - m_report->receivedAt;
-    const auto coldLeft = m_report->load.coldFor - age;
+    const auto coldLeft = m_report->load.remainingWarmUp - age;
     if (coldLeft <= Duration::zero())
         return Duration::zero();
     const double callsSinceReport = std::max(double(m_inFlight) - m_report->callsOfThisIngress, 0.0);
-    const auto wait
-        = m_report->load.nextStart - age + fromSeconds(callsSinceReport / m_report->load.coldPerSecond);
+    const auto wait = m_report->load.timeToNextStart - age
+        + fromSeconds(callsSinceReport / m_report->load.warmUpCallsPerSecond);
     return std::clamp(wait, Duration::zero(), coldLeft);
 }
 
