--- a/bench/decisions/decisions-main.cpp
+++ b/bench/decisions/decisions-main.cpp
@@ -1,6 +1,6 @@
 /// \file The cost of a decision, and how it grows with upstreams and groups (Google Benchmark).
 
-#include "Control/Spread.h"
+#include "Control/ConfigDisseminator.h"
 #include "Core/Random.h"
 #include "Node/Directory.h"
 #include "Once/TicketTable.h"
@@ -13,11 +13,11 @@
 
 namespace {
 
-Report exampleReport(Random& random, Instant now)
+OwnerReport exampleReport(Random& random, Instant now)
 {
-    Report report;
+    OwnerReport report;
     report.load = { 12, static_cast<std::uint32_t>(random.below(13)), 0, 10ms };
-    report.heard = now;
+    report.receivedAt = now;
     return report;
 }
 
@@ -26,21 +26,21 @@
 {
     ServiceRouter router({});
     Random random(1);
-    std::vector<RouteTarget> targets;
+    std::vector<UpstreamConfig> targets;
     targets.reserve(static_cast<std::size_t>(state.range(0)));
     for (int i = 0; i < state.range(0); ++i)
         targets.push_back({ "upstream-" + std::to_string(i), 12, 1ms });
     Instant now {};
     router.setUpstreams(targets, now);
     for (const auto& it : targets) {
-        router.sent(it.name, 1);
-        router.answered(it.name, 1, exampleReport(random, now), 10ms, false, now);
+        router.onAttemptSent(it.name, 1);
+        router.onAttemptAnswered(it.name, 1, exampleReport(random, now), 10ms, false, now);
     }
     for (auto _ : state) {
         now += 100us;
-        const auto name = *router.pick({}, { 1 }, now, random);
-        router.sent(name, 1);
-        router.answered(name, 1, exampleReport(random, now), 10ms, false, now);
+        const auto name = *router.pickUpstream({}, { 1 }, now, random);
+        router.onAttemptSent(name, 1);
+        router.onAttemptAnswered(name, 1, exampleReport(random, now), 10ms, false, now);
     }
 }
 /// One call that ended, for a limit that is learnt over n slots; every fourth chooses anew.
@@ -51,7 +51,7 @@
     Random random(1);
     for (auto _ : state) {
         const auto inUse = static_cast<std::uint32_t>(1 + random.below(limit.limit()));
-        limit.ended({ 1, inUse, limit.limit(), Duration(100000 + random.below(50000)), 400ms });
+        limit.addSample({ 1, inUse, limit.limit(), Duration(100000 + random.below(50000)), 400ms });
         benchmark::DoNotOptimize(limit.limit());
     }
 }
@@ -59,11 +59,11 @@
 /// The chance of one answer to be late, and one answer learnt from.
 void judgeLateness(benchmark::State& state)
 {
-    LateChance chance;
+    LatenessEstimate chance;
     Random random(1);
     for (auto _ : state) {
-        chance.took(Duration(50000 + random.below(100000)), 100ms);
-        benchmark::DoNotOptimize(chance.of(100ms, 150ms));
+        chance.addResponse(Duration(50000 + random.below(100000)), 100ms);
+        benchmark::DoNotOptimize(chance.lateProbability(100ms, 150ms));
     }
 }
 
@@ -76,18 +76,18 @@
 {
     Admission::Options options;
     options.queueLimit = 100000;
-    options.maxWait = 1000000;
+    options.maxWaitSlotTimes = 1000000;
     Admission admission(options);
     const auto groups = static_cast<std::uint32_t>(state.range(0));
     Instant now {};
     std::uint64_t id = 0;
     std::vector<std::uint64_t> running;
     const auto offer = [&] {
-        Offer it;
+        OfferedCall it;
         it.id = ++id;
         it.group = static_cast<std::uint32_t>(id % groups);
         it.deadline = Instant::max();
-        for (const auto started : admission.offer(it, now).run)
+        for (const auto started : admission.offer(it, now).callsToRun)
             running.push_back(started);
     };
     for (std::uint32_t i = 0; i < 2 * groups + 20; ++i)
@@ -97,7 +97,7 @@
         offer();
         const auto done = running.back();
         running.pop_back();
-        for (const auto started : admission.finished(done, RunEnd::Answered, now).run)
+        for (const auto started : admission.onRunEnded(done, RunOutcome::Answered, now).callsToRun)
             running.push_back(started);
     }
 }
@@ -114,9 +114,9 @@
     for (auto _ : state) {
         now += 10us;
         const auto it = table.mint(random, now);
-        table.begin(it, {}, 1, now);
-        table.ended(it.nonce, { true, 200, {}, "done" });
-        benchmark::DoNotOptimize(table.begin(it, {}, 2, now));
+        table.beginCall(it, {}, 1, now);
+        table.recordAnswer(it.nonce, { true, 200, {}, "done" });
+        benchmark::DoNotOptimize(table.beginCall(it, {}, 2, now));
     }
 }
 BENCHMARK(ticket)->Iterations(200000);
@@ -213,13 +213,13 @@
     HostPage page { 1, true, {}, {} };
     for (int i = 0; i < state.range(0); ++i)
         page.hosts.push_back({ "host-" + std::to_string(i), "10.0.0.1:1", "hall", "region", false });
-    members.take(page);
+    members.applyPage(page);
     Instant now {};
-    Spread spread({}, page.hosts.front(), 1, now);
+    ConfigDisseminator spread({}, page.hosts.front(), 1, now);
     for (auto _ : state) {
         now += 100ms;
         benchmark::DoNotOptimize(spread.tick(members, 1, true, now));
-        benchmark::DoNotOptimize(Trees(members, spread.self(), spread.hallRanks(), 8).parent(now));
+        benchmark::DoNotOptimize(CountingTree(members, spread.self(), spread.hallRanking(), 8).parent(now));
     }
 }
 BENCHMARK(spreadTick)->Arg(25)->Arg(100)->Arg(400)->Unit(benchmark::kMicrosecond);
@@ -232,7 +232,7 @@
     for (int i = 0; i < state.range(0); ++i)
         names.push_back("host-" + std::to_string(i));
     for (auto _ : state)
-        benchmark::DoNotOptimize(firstByHash(names, "claims-1", 3));
+        benchmark::DoNotOptimize(topRankedByHash(names, "claims-1", 3));
 }
 BENCHMARK(findHomes)->Arg(100)->Arg(1000)->Arg(7200)->Unit(benchmark::kMicrosecond);
 
--- a/bench/shared/SharedRun.cpp
+++ b/bench/shared/SharedRun.cpp
@@ -37,8 +37,8 @@
     Ingress ingress { hall, {}, Random(seed) };
     for (std::size_t service = 0; service < classNames.size(); ++service) {
         ServiceRouter::Options routing;
-        routing.kind = m_options.kind;
-        std::vector<RouteTarget> targets;
+        routing.policyKind = m_options.kind;
+        std::vector<UpstreamConfig> targets;
         for (const auto& it : m_upstreams) {
             const bool isFar = it.hall != hall;
             if (it.service == service)
@@ -56,9 +56,9 @@
         const auto index = m_upstreams.size();
         Admission::Options admission;
         admission.slots = m_site.slots;
-        admission.limit = m_options.limit;
-        admission.share = m_options.usableShare;
-        admission.initialService = service ? m_site.nestedWork : m_site.work;
+        admission.limitKind = m_options.limit;
+        admission.slotShare = m_options.usableShare;
+        admission.initialSlotTime = service ? m_site.nestedWork : m_site.work;
         m_upstreams.push_back({ "u" + std::to_string(index), service, i % m_site.halls, Admission(admission),
             SharedBackend(m_site, m_options.seed * 1000 + index) });
         m_byName[m_upstreams.back().name] = index;
@@ -99,7 +99,7 @@
     return id;
 }
 
-RouteNeeds SharedRun::needsOf(const Call& call) const
+CallProfile SharedRun::needsOf(const Call& call) const
 {
     const auto left = std::max(call.target - (m_loop.now() - call.arrived), Duration(1));
     return { group, classNames[call.service], left };
@@ -110,16 +110,16 @@
     auto& call = m_calls.at(id);
     auto& ingress = m_ingresses[call.ingress];
     auto& router = ingress.routers[call.service];
-    const auto name = router.pick(call.tried, needsOf(call), m_loop.now(), ingress.random);
+    const auto name = router.pickUpstream(call.tried, needsOf(call), m_loop.now(), ingress.random);
     if (!name)
         return finish(id, Reason::NoUpstream);
     if (std::find(call.busy.begin(), call.busy.end(), *name) != call.busy.end())
         call.asksLeft = 0;
     call.upstream = m_byName.at(*name);
-    call.slowdownWhenSent = router.slowdownOf(*name);
+    call.slowdownWhenSent = router.reportedSlowdown(*name);
     call.sent = m_loop.now();
-    call.expected = router.expectedAt(*name, needsOf(call), m_loop.now());
-    router.sent(*name, group);
+    call.expected = router.expectedResponseTime(*name, needsOf(call), m_loop.now());
+    router.onAttemptSent(*name, group);
     const auto hall = m_upstreams[call.upstream].hall;
     m_tally.far += hall != ingress.hall;
     ++m_tally.messages;
@@ -135,20 +135,20 @@
         && !isSlow(upstream.admission.load(m_loop.now()).slowdown);
     if (onlyAtOnce && !isReady)
         return answer(id, Reason::Busy);
-    Offer offer;
+    OfferedCall offer;
     offer.id = id;
     offer.group = group;
     offer.priority = call.parent ? priorityOfNested : priorityOfCallers;
     offer.deadline = call.deadline;
-    offer.inTimeUntil = call.parent ? call.deadline : call.arrived + call.target;
+    offer.softDeadline = call.parent ? call.deadline : call.arrived + call.target;
     act(upstream.admission.offer(offer, m_loop.now()));
 }
 
-void SharedRun::act(const Dispatch& dispatch)
+void SharedRun::act(const AdmissionResult& dispatch)
 {
-    for (const auto& it : dispatch.refused)
+    for (const auto& it : dispatch.refusals)
         answer(it.id, it.reason);
-    for (const auto id : dispatch.run)
+    for (const auto id : dispatch.callsToRun)
         runAtBackend(id);
 }
 
@@ -158,7 +158,7 @@
     auto& upstream = m_upstreams[call.upstream];
     call.started = m_loop.now();
     const auto work = call.service ? m_site.nestedWork : m_site.work;
-    const auto takes = upstream.backend.run(work, upstream.admission.inUse(), m_loop.now());
+    const auto takes = upstream.backend.run(work, upstream.admission.slotsInUse(), m_loop.now());
     const auto left = call.deadline - m_loop.now();
     call.hasFailed = takes > left;
     m_loop.after(std::min(takes, left), [this, id] { workDone(id); });
@@ -184,17 +184,17 @@
 {
     const auto& call = m_calls.at(id);
     const auto upstream = call.upstream;
-    const auto end = call.hasFailed ? RunEnd::Failed : RunEnd::Answered;
+    const auto end = call.hasFailed ? RunOutcome::Failed : RunOutcome::Answered;
     learn(upstream);
     answer(id, call.hasFailed ? Reason::BackendFailed : Reason::None);
-    act(m_upstreams[upstream].admission.finished(id, end, m_loop.now()));
+    act(m_upstreams[upstream].admission.onRunEnded(id, end, m_loop.now()));
 }
 
-Report SharedRun::reportOf(const Upstream& upstream) const
+OwnerReport SharedRun::reportOf(const Upstream& upstream) const
 {
-    Report report;
+    OwnerReport report;
     report.load = upstream.admission.load(m_loop.now());
-    report.queued = report.load.waiting;
+    report.queuedCalls = report.load.waitingCalls;
     return report;
 }
 
@@ -208,18 +208,18 @@
         [this, id, report = reportOf(upstream), reason, held] { takeAnswer(id, report, reason, held); });
 }
 
-void SharedRun::takeAnswer(CallId id, const Report& report, Reason reason, Duration held)
+void SharedRun::takeAnswer(CallId id, const OwnerReport& report, Reason reason, Duration held)
 {
     const auto& call = m_calls.at(id);
     auto& router = m_ingresses[call.ingress].routers[call.service];
     const auto& name = m_upstreams[call.upstream].name;
     auto heard = report;
-    heard.heard = m_loop.now();
-    router.answered(name, group, heard, held, false, m_loop.now());
+    heard.receivedAt = m_loop.now();
+    router.onAttemptAnswered(name, group, heard, held, false, m_loop.now());
     if (reason != Reason::None && reason != Reason::BackendFailed)
         return refused(id, reason);
-    router.measuredWork(classNames[call.service], held, call.slowdownWhenSent);
-    router.took(classNames[call.service], m_loop.now() - call.sent, call.expected);
+    router.recordSlotTime(classNames[call.service], held, call.slowdownWhenSent);
+    router.recordResponseTime(classNames[call.service], m_loop.now() - call.sent, call.expected);
     finish(id, std::nullopt);
 }
 
@@ -287,16 +287,16 @@
         m_loop.after(
             oneWay(ingress.hall, upstream.hall), [this, &ingress, index, report = reportOf(upstream)] {
                 auto heard = report;
-                heard.heard = m_loop.now();
+                heard.receivedAt = m_loop.now();
                 const auto& told = m_upstreams[index];
-                ingress.routers[told.service].heard(told.name, heard, m_loop.now());
+                ingress.routers[told.service].onLoadReport(told.name, heard, m_loop.now());
             });
     }
 }
 
 void SharedRun::tick(std::size_t index)
 {
-    act(m_upstreams[index].admission.giveUpHopeless(m_loop.now()));
+    act(m_upstreams[index].admission.refuseCallsMissingDeadline(m_loop.now()));
     if (m_loop.now() < Instant(m_options.length))
         m_loop.after(tickEvery, [this, index] { tick(index); });
 }
--- a/bench/shared/SharedRun.h
+++ b/bench/shared/SharedRun.h
@@ -31,10 +31,11 @@
 class SharedRun {
 public:
     struct Options {
-        ChoiceKind kind = ChoiceKind::Timely;
+        ChoicePolicyKind kind = ChoicePolicyKind::Timely;
         News news = News::ToldAndAsked;
         double load = 0.75; ///< of the capacity at full use of all slots
-        LimitKind limit = LimitKind::Learnt; ///< on the calls that an owner runs at once
+        ConcurrencyLimitKind limit
+            = ConcurrencyLimitKind::Learnt; ///< on the calls that an owner runs at once
         double usableShare = 1; ///< of the slots that owners use, with a fixed limit
         Duration probeEvery = 50ms; ///< while an owner believes that its server is slow; 0: never
         Duration length = 30s;
@@ -86,12 +87,12 @@
     CallId begin(std::size_t service, std::size_t ingress, CallId parent, Instant deadline, Duration target);
     void proceed(CallId id);
     void takeAtOwner(CallId id, bool onlyAtOnce);
-    void act(const Dispatch& dispatch);
+    void act(const AdmissionResult& dispatch);
     void runAtBackend(CallId id);
     void workDone(CallId id);
     void ended(CallId id);
     void answer(CallId id, Reason reason);
-    void takeAnswer(CallId id, const Report& report, Reason reason, Duration held);
+    void takeAnswer(CallId id, const OwnerReport& report, Reason reason, Duration held);
     void refused(CallId id, Reason reason);
     void finish(CallId id, std::optional<Reason> refusal);
     /// \brief The owner hears how fast its server is now.
@@ -99,8 +100,8 @@
     /// \brief The owner's timed work.
     void tick(std::size_t upstream);
     void tell(std::size_t upstream);
-    Report reportOf(const Upstream& upstream) const;
-    RouteNeeds needsOf(const Call& call) const;
+    OwnerReport reportOf(const Upstream& upstream) const;
+    CallProfile needsOf(const Call& call) const;
     bool asks() const { return m_options.news == News::Asked || m_options.news == News::ToldAndAsked; }
     bool tells() const { return m_options.news == News::Told || m_options.news == News::ToldAndAsked; }
     Duration oneWay(std::uint32_t hallA, std::uint32_t hallB) const;
--- a/src/Node/Ingress.h
+++ b/src/Node/Ingress.h
@@ -11,9 +11,9 @@
 #include "Node/PeerLinks.h"
 #include "Node/RequestTrail.h"
 #include "Node/Timer.h"
-#include "Rates/RateKeeper.h"
-#include "Routing/CallBytes.h"
-#include "Routing/NestedCalls.h"
+#include "Rates/GroupRateLimiter.h"
+#include "Routing/CallSizeEstimate.h"
+#include "Routing/NestedCallEstimate.h"
 #include "Routing/OwnerClock.h"
 #include "Routing/ServiceRouter.h"
 #include "peer.pb.h"
@@ -73,7 +73,7 @@
     void setConfigured(bool isConfigured) { m_isConfigured = isConfigured; }
 
     /// \brief Calls of groups with a rate need a credit from \a rates, which must outlive this.
-    void keepRates(RateKeeper& rates);
+    void keepRates(GroupRateLimiter& rates);
 
     /// \brief How many retries one service of this node may save up.
     void setRetryBurst(double burst) { m_retryBurst = burst; }
@@ -143,7 +143,7 @@
         std::unique_ptr<proto::Answer>
             failedAnswer; ///< an error of a backend server, kept while others are tried
         std::optional<Ticket> ticket;
-        std::optional<CreditPurse::Credit> credit; ///< by which its group's rate lets it through
+        std::optional<CreditBorrower::Credit> credit; ///< by which its group's rate lets it through
         RequestTrail trail;
         bool isMinting = false; ///< the attempt asks for a ticket only
         std::optional<ContentId> content; ///< computed where crashes are known
@@ -162,7 +162,7 @@
     /// own data hall.
     std::vector<std::string> ingressesBeside() const;
     /// \returns those of them that don't leave, with what their router needs to know.
-    std::vector<RouteTarget> targetsOf(
+    std::vector<UpstreamConfig> targetsOf(
         const ServiceInfo& service, const std::vector<std::string>& hosts) const;
     ServiceRouter& routerFor(const ServiceInfo& service);
     /// \returns whether \a request, made for a call that runs here, is likely the last one which that needs.
@@ -171,7 +171,7 @@
     void begin(std::unique_ptr<HttpExchange> exchange, CallRequest request, Instant now);
     /// \brief Lets the call through if its group's rate allows it; else it waits a moment for a credit, or is
     /// refused.
-    void passRate(CallId id, Call& call, const CreditPurse::Decision& decision, Instant now);
+    void passRate(CallId id, Call& call, const CreditBorrower::Decision& decision, Instant now);
     void creditsChanged(const std::vector<std::string>& groups, Instant now);
     void refuseOverRate(CallId id, Call& call, Duration comeBack, Instant now);
     /// \brief The call is let in: it goes on to an owner.
@@ -201,7 +201,7 @@
     static bool awaitsLink(Call& call, const std::string& upstream, Instant now);
     void tryAgainSoon(CallId id, Call& call);
     /// \returns whether crashes of servers that ran the same hold \a call back.
-    CrashLedger::Verdict verdictOf(Call& call, Instant now) const;
+    CrashTracker::Verdict verdictOf(Call& call, Instant now) const;
     /// \brief Sends a call that is held back to the one upstream that may try it.
     void sendTrial(CallId id, Call& call, Instant now);
     void finishHeld(CallId id, Call& call, Instant now);
@@ -212,11 +212,11 @@
     bool mayTryAgain(Call& call, Instant now);
     /// \returns why the budgets don't allow one more attempt; nothing if they do, and then the service's has
     /// paid for it.
-    std::optional<RetryDenial> denyRetry(const Call& call, RetryClaim claim, Instant now);
+    std::optional<RetryDenial> denyRetry(const Call& call, RetryPriority claim, Instant now);
     /// \brief Adds \a n to the count \a name of the service.
     void countRetries(std::string_view name, const std::string& service, double n = 1);
     /// \brief As mayTryAgain(), but leaves it to the caller to count the retry once it is sent.
-    bool payRetry(Call& call, RetryClaim claim, Instant now);
+    bool payRetry(Call& call, RetryPriority claim, Instant now);
     /// \brief Sends a second attempt beside the one that is out, if the budgets allow; it waits for a link
     /// that is being opened as long as it is worthwhile.
     void sendSecond(CallId id, Call& call, const std::string& upstream, Instant now);
@@ -243,7 +243,7 @@
     void attemptLost(CallId id, Call& call, Reason reason, Instant now);
     /// \returns whether the owner that \a attempt was sent to has said that it doesn't run it.
     bool wasNeverRun(const Call& call, const Attempt& attempt) const;
-    RouteNeeds needsOf(const Call& call, Instant now) const;
+    CallProfile needsOf(const Call& call, Instant now) const;
     /// \returns an upstream for a second attempt; nothing if there is none.
     std::optional<std::string> pickSecond(Call& call, Instant now);
     /// \returns whether a second attempt at \a upstream is likely to be in time.
@@ -295,9 +295,9 @@
     ClaimService* m_claims;
     const Membership* m_members;
     SendToPeer m_send;
-    WeightedTurns m_turns;
-    NestedCalls m_nestedCalls;
-    CallBytes m_callBytes;
+    WeightedRoundRobin m_turns;
+    NestedCallEstimate m_nestedCalls;
+    CallSizeEstimate m_callBytes;
     bool m_isDraining = false;
     bool m_isConfigured = true;
     std::optional<double> m_retryBurst;
@@ -306,7 +306,7 @@
     std::unordered_map<CallId, Call> m_calls;
     std::unordered_map<std::uint64_t, CallId> m_callByNumber;
     std::unordered_map<std::string, std::unique_ptr<ServiceRouter>> m_routers;
-    RateKeeper* m_rates = nullptr;
+    GroupRateLimiter* m_rates = nullptr;
     std::map<std::string, std::deque<CallId>> m_awaitingCredit; ///< by group
     LastWords m_lastWords;
     /// By upstream: to tell owners deadlines that a late delivery can't outlive.
--- a/src/Node/Owner.h
+++ b/src/Node/Owner.h
@@ -2,8 +2,8 @@
 
 #include "Chart/Leaving.h"
 #include "Core/BackendLife.h"
-#include "Crashes/CrashWatch.h"
-#include "Crashes/GoodEnds.h"
+#include "Crashes/CrashDetector.h"
+#include "Crashes/RecentSuccesses.h"
 #include "Http/HttpPool.h"
 #include "Node/NodeContext.h"
 #include "Node/Prober.h"
@@ -199,9 +199,9 @@
         const RecordedAnswer& recorded, Instant now);
     void admit(const proto::Call& call, const Sender& sender, Reply reply, Instant now);
     CallRecord recordOf(const proto::Call& call, const Sender& sender, Reply reply, Instant now) const;
-    void noteQueued(CallRecord& record, const Offer& offer, Instant now) const;
-    void act(const Dispatch& dispatch, Instant now);
-    Offer offerOf(std::uint64_t id, const CallRecord& record, Instant now);
+    void noteQueued(CallRecord& record, const OfferedCall& offer, Instant now) const;
+    void act(const AdmissionResult& dispatch, Instant now);
+    OfferedCall offerOf(std::uint64_t id, const CallRecord& record, Instant now);
     void noteEnd(CallRecord& record, const proto::Answer& answer, Instant now);
     void run(std::uint64_t id, Instant now);
     proto::Answer answerOf(HttpReply& reply, Instant now);
@@ -248,8 +248,8 @@
     std::unique_ptr<HttpPool> m_pool;
     std::string m_backendAddress;
     std::string m_boundUpstream; ///< that the pool's connections are meant for
-    CrashWatch m_crashWatch;
-    GoodEnds m_goodEnds;
+    CrashDetector m_crashWatch;
+    RecentSuccesses m_goodEnds;
     std::set<ContentId> m_loggedHolds;
     TellCrash m_tellCrash;
     TellAcquittal m_tellAcquittal;
--- a/src/Node/OwnerLife.cpp
+++ b/src/Node/OwnerLife.cpp
@@ -26,14 +26,14 @@
         if (isSameAddress && !m_leaving.hasSign(LeavingSign::BackendServer)) {
             auto running = runningOn(*m_pool, now);
             if (!running.empty())
-                m_crashWatch.broke(std::move(running), now);
+                m_crashWatch.onRunBroken(std::move(running), now);
         }
-        if (const auto suspects = m_crashWatch.nextLife(now))
+        if (const auto suspects = m_crashWatch.onNewIncarnation(now))
             reportCrash(former.key(), *suspects, now);
     }
     m_isDown = false;
     m_unreached = 0;
-    m_admission.restart();
+    m_admission.resetLimit();
     m_admission.setSlowdown(m_toldSlowdown = 1, now);
     m_loadHeard.reset();
     m_errors = Ewma(errorSampleWeight);
--- a/src/Queueing/Admission.h
+++ b/src/Queueing/Admission.h
@@ -2,9 +2,9 @@
 
 #include "Queueing/ConcurrencyLimit.h"
 #include "Queueing/FairQueue.h"
+#include "Queueing/NestedCallReservation.h"
 #include "Queueing/Refusal.h"
-#include "Queueing/RoomForNested.h"
-#include "Queueing/ServiceEstimate.h"
+#include "Queueing/SlotTimeEstimate.h"
 #include "Queueing/SojournControl.h"
 #include "Queueing/WarmUp.h"
 #include "Queueing/WorkClock.h"
@@ -16,202 +16,219 @@
 
 namespace robinrun {
 
-/// \brief A call offered to the owner of an upstream.
-struct Offer {
+/// \brief A call offered to the owner of an upstream for admission.
+struct OfferedCall {
     std::uint64_t id = 0;
     std::uint32_t group = 0;
     std::uint32_t callClass = 0;
-    std::uint32_t rank = 0; ///< over all groups, 0 first
-    std::uint32_t priority = 0; ///< inside the group and rank
+    std::uint32_t rank = 0; ///< priority across all groups; 0 is served first
+    std::uint32_t priority = 0; ///< priority inside the group and rank; 0 is served first
     Instant deadline {};
-    Duration elsewhere {};
-    Instant inTimeUntil = Instant::max(); ///< an answer after this is late
-    /// For a call that a run elsewhere waits for: the place of that one. Lower numbers are more urgent.
+    Duration
+        slotTimeElsewhere {}; ///< that the group used on other upstreams and this owner has yet to charge
+    Instant softDeadline = Instant::max(); ///< a later answer misses the target latency but is still useful
+    /// Urgency of the call that issued this one and waits for it, if this is a nested call. Lower values are
+    /// more urgent.
     std::optional<std::uint32_t> parentUrgency;
-    std::uint32_t urgency = 0; ///< place of the call itself, in the same numbers
+    std::uint32_t urgency = 0; ///< of the call itself, on the scale of `parentUrgency`
 };
 
-/// \brief How a call that ran has ended, for what is learnt from it.
-enum class RunEnd {
+/// \brief How the run of a call ended.
+enum class RunOutcome {
     Answered,
-    Failed, ///< or was cut off: how long it took says nothing, unless it was up to its deadline
+    Failed, ///< failed or was cancelled; its run time is used only if it ran until its deadline
 };
 
-/// \brief What to do after a step: calls to hand to the backend server, and calls given up as not run.
-struct Dispatch {
-    std::vector<std::uint64_t> run;
-    std::vector<Refusal> refused;
+/// \brief Calls that the caller of Admission must now run on the backend server or refuse as not run.
+struct AdmissionResult {
+    std::vector<std::uint64_t> callsToRun;
+    std::vector<Refusal> refusals;
 };
 
-/// \brief The state of an upstream at a moment, exact at its owner.
+/// \brief The load of an upstream at one moment, as its owner counts it.
 struct LoadReport {
-    std::uint32_t slots = 0; ///< that the owner uses at most
-    std::uint32_t inUse = 0;
-    std::uint32_t waiting = 0;
-    Duration service {};
-    double slowdown = 1; ///< how much longer work takes at this moment, as the backend server says
-    bool isDown = false; ///< the backend server can't be reached
-    Duration coldFor {}; ///< how long the backend server stays cold; zero if it is warm
-    double coldPerSecond = 0; ///< calls that are started a second while it is; 0: as many as there are slots
-    Duration nextStart {}; ///< while it is paced: until a call that came now could start
+    std::uint32_t slotLimit = 0; ///< calls that the owner runs at once at most
+    std::uint32_t slotsInUse = 0;
+    std::uint32_t waitingCalls = 0;
+    Duration meanSlotTime {}; ///< mean time that a call holds a slot
+    double slowdown = 1; ///< factor by which work takes longer than usual, as the backend server reports it
+    bool isUnreachable = false; ///< the owner can't connect to the backend server
+    Duration remainingWarmUp {}; ///< time until the backend server is warm; zero if it is warm
+    double warmUpCallsPerSecond = 0; ///< rate at which calls start during the warm-up; 0: not paced
+    Duration timeToNextStart {}; ///< while calls are paced: time until a call that arrived now could start
 };
 
 /// \brief Decides at the owner which calls run on the backend server, which wait and which are refused.
 ///
-/// Only the owner admits work to its upstream, so slots in use are counted, never guessed. A refusal comes
-/// from the queue alone: a call in `run` has been handed over and is never refused afterwards.
+/// Only the owner admits calls to its upstream, so the number of slots in use is exact. Only waiting calls
+/// and new arrivals are refused: a call listed in `callsToRun` is never refused afterwards.
 ///
-/// Cost: offer and finished O(log groups + refused); memory about 150 bytes a waiting call.
+/// "Slot time" is the time for which a call holds a slot of the backend server.
+///
+/// Cost: offer() and onRunEnded() take O(log groups + refusals); memory is about 150 bytes per waiting call.
 class Admission {
 public:
     struct Options {
         std::uint32_t slots = 12; ///< of the backend server
-        LimitKind limit = LimitKind::Fixed; ///< how many of them are used at most
-        double share = 1; ///< of the slots, for LimitKind::Fixed and LimitKind::Stepwise
-        std::size_t queueLimit = 256;
-        Duration initialService = 10ms;
-        /// Bounds on waiting, in slot times as they are now: a few calls in turn are a burst, more stand.
-        int sojournTarget = 3;
-        int sojournInterval = 20;
-        int maxWait
-            = 10; ///< a call that would wait longer is refused at once: that is worth more than a late answer
-        Duration maxElsewhere = 100ms;
+        ConcurrencyLimitKind limitKind = ConcurrencyLimitKind::Fixed;
+        double slotShare = 1; ///< of the slots; used by the Fixed limit and initially by the Stepwise limit
+        std::size_t queueLimit = 256; ///< waiting calls at most
+        Duration initialSlotTime = 10ms; ///< estimate before any call has ended
+        /// Target and interval of SojournControl, in mean slot times. They scale with the slot time because a
+        /// wait of a few slot times is a burst and a longer one a standing queue.
+        int sojournTargetSlotTimes = 3;
+        int sojournIntervalSlotTimes = 20;
+        /// A call without a soft deadline is refused on arrival if its expected wait exceeds this many mean
+        /// slot times: an early refusal is worth more to the caller than a late answer.
+        int maxWaitSlotTimes = 10;
+        Duration maxSlotTimeElsewhere = 100ms; ///< limit on `slotTimeElsewhere` of one call
     };
 
     explicit Admission(Options options);
 
-    void setWeight(std::uint32_t group, double weight) { m_queue.setWeight(group, weight); }
+    void setGroupWeight(std::uint32_t group, double weight) { m_queue.setGroupWeight(group, weight); }
 
-    /// \brief Changes the slots; fewer than in use means that none starts until enough have ended. What was
-    /// learnt of the limit is kept as long as the slots stay the same.
+    /// \brief Changes the number of slots and starts the concurrency limit anew if the number differs.
+    ///
+    /// If fewer slots remain than are in use, no call starts until enough runs have ended.
     void setSlots(std::uint32_t slots);
 
-    /// \brief Another life of the backend server has come: what was learnt of the former one's limit is
-    /// forgotten. How long calls of a class take is kept: that is the service's, not the life's.
-    void restart();
+    /// \brief Starts the concurrency limit anew, because a new incarnation of the backend server runs.
+    ///
+    /// The slot time estimates of the call classes are kept: they belong to the service, not to one
+    /// incarnation.
+    void resetLimit();
 
-    /// \brief Changes how the limit is found, or the share of the slots of one that is fixed.
-    void setLimit(LimitKind kind, double share);
+    /// \brief Changes the kind of concurrency limit and the share of the slots that it uses.
+    void setLimitKind(ConcurrencyLimitKind kind, double share);
 
-    /// \brief What is known of the backend server's warm-up, to be told of news. What it holds back shows in
-    /// the next step; \sa nextStart().
+    /// \brief The warm-up state of the backend server. The caller updates it with news of the server; the
+    /// change takes effect at the next call of offer(), onRunEnded() or startReadyCalls().
     WarmUp& warmUp() { return m_warmUp; }
     const WarmUp& warmUp() const { return m_warmUp; }
 
-    /// \returns when a waiting call may start that is held back only for the server's warm-up; nothing if
-    /// there is none.
-    std::optional<Instant> nextStart(Instant now) const;
+    /// \returns when a waiting call may start that only the warm-up pacing delays; nothing if no call is
+    /// delayed by it.
+    std::optional<Instant> nextPacedStart(Instant now) const;
 
-    /// \brief Starts what may start by now. To be called at nextStart().
-    Dispatch resume(Instant now);
+    /// \brief Starts the waiting calls that may start by \a now. The caller calls this at nextPacedStart().
+    AdmissionResult startReadyCalls(Instant now);
 
-    /// \brief Work takes \a factor times as long as usual from now on.
+    /// \brief Records that work takes \a factor times as long as usual from \a now on.
     void setSlowdown(double factor, Instant now);
 
     /// \returns how many calls may run at once.
     std::uint32_t limit() const;
 
-    /// \brief Changes how many calls may wait; those that wait beyond it stay.
+    /// \brief Changes how many calls may wait. Calls already waiting beyond the new limit stay.
     void setQueueLimit(std::size_t limit) { m_queue.setLimit(limit); }
 
-    /// \brief Takes in a call. A leaving owner refuses it; so does one that can't finish it in time.
-    Dispatch offer(const Offer& offer, Instant now);
+    /// \brief Runs, queues or refuses a new call. An owner that is leaving refuses every call; otherwise a
+    /// call is refused if it is not expected to end in time.
+    AdmissionResult offer(const OfferedCall& offer, Instant now);
 
-    /// \brief A call that ran has ended (answered, failed or been cancelled at the backend server).
-    Dispatch finished(std::uint64_t id, RunEnd end, Instant now);
+    /// \brief Releases the slot of a run that was answered, failed or was cancelled at the backend server.
+    AdmissionResult onRunEnded(std::uint64_t id, RunOutcome outcome, Instant now);
 
-    /// \brief Gives up a waiting call for its caller. \returns false when it isn't waiting (it may be
-    /// running).
+    /// \brief Removes a waiting call whose caller cancelled it. \returns false if the call is not waiting; it
+    /// may be running.
     bool cancelWaiting(std::uint64_t id);
 
-    /// \brief Gives up waiting calls that can no longer end before their deadlines: their callers may do
-    /// better elsewhere, and need not wait for the end. To be called now and then. Cost: O(waiting calls).
-    Dispatch giveUpHopeless(Instant now);
+    /// \brief Refuses waiting calls that can no longer end before their deadlines, so that their callers can
+    /// try another upstream early. Called periodically. Cost: O(waiting calls).
+    AdmissionResult refuseCallsMissingDeadline(Instant now);
 
-    /// \brief While leaving, nothing is taken in and all that waits is refused, to go elsewhere.
-    Dispatch setLeaving(bool isLeaving, Instant now);
+    /// \brief Starts or ends leaving. While leaving, every new call is refused.
+    /// \returns all waiting calls as refusals if \a isLeaving, so that their callers try another upstream.
+    AdmissionResult setLeaving(bool isLeaving, Instant now);
 
     bool isLeaving() const { return m_isLeaving; }
-    bool isIdle() const { return m_running.empty() && m_queue.isEmpty(); }
+    bool isIdle() const { return m_runningCalls.empty() && m_queue.isEmpty(); }
 
-    /// \brief A slot taken by something else than a call (a probe): counts as in use.
+    /// \brief Takes a slot for something other than a call, such as a health probe.
     void holdSlot() { ++m_heldSlots; }
-    Dispatch releaseSlot(Instant now);
+    AdmissionResult releaseSlot(Instant now);
 
-    /// \returns whether a call that came now would get a slot at once.
+    /// \returns whether a call that arrived now would run at once.
     bool hasFreeSlot(Instant now) const
     {
-        return !m_isLeaving && inUse() < limit() && m_queue.isEmpty() && m_warmUp.nextStart(now) <= now;
+        return !m_isLeaving && slotsInUse() < limit() && m_queue.isEmpty() && m_warmUp.nextStart(now) <= now;
     }
 
-    /// \returns whether a call has run well beyond what was expected when it began: the server may have
-    /// turned slow since it last told its load. Cost: O(running calls).
-    bool hasOverdue(Instant now) const;
+    /// \returns whether some call has run well beyond the slot time expected at its start, which suggests
+    /// that the server has slowed down since it last reported its load. Cost: O(running calls).
+    bool hasOverdueRun(Instant now) const;
 
-    /// \returns whether a call that came now would get the next slot that comes free.
-    bool goesNext(std::uint32_t group, std::uint32_t rank, std::uint32_t priority) const
+    /// \returns whether a call that arrived now would get the next slot that becomes free.
+    bool wouldGetNextSlot(std::uint32_t group, std::uint32_t rank, std::uint32_t priority) const
     {
-        return !m_isLeaving && m_queue.timeAhead(group, rank, priority) == Duration::zero();
+        return !m_isLeaving && m_queue.slotTimeAhead(group, rank, priority) == Duration::zero();
     }
 
     LoadReport load(Instant now) const;
 
-    /// \returns the load as a call of \a group meets it: `waiting` counts only what would go before it.
-    LoadReport loadFor(std::uint32_t group, Instant now) const;
-    std::uint32_t inUse() const { return static_cast<std::uint32_t>(m_running.size()) + m_heldSlots; }
+    /// \returns the load as a new call of \a group sees it: `waitingCalls` counts only the calls that would
+    /// be served before it.
+    LoadReport loadForGroup(std::uint32_t group, Instant now) const;
+    std::uint32_t slotsInUse() const
+    {
+        return static_cast<std::uint32_t>(m_runningCalls.size()) + m_heldSlots;
+    }
 
-    /// \returns how long a call of the group is likely to wait if it came now.
+    /// \returns how long a call of the group is expected to wait if it arrived now.
     Duration expectedWait(std::uint32_t group, std::uint32_t rank, std::uint32_t priority, Instant now) const;
 
 private:
-    struct Running {
+    struct RunningCall {
         std::uint32_t group;
         std::uint32_t callClass;
-        Duration expected;
-        Instant started;
-        Duration workClock; ///< as it was read at the start
-        Duration timely; ///< at the start, until it is late
+        Duration expectedSlotTime;
+        Instant startTime;
+        Duration workClockAtStart; ///< reading of `m_workClock`
+        Duration timeToSoftDeadline; ///< at the start
         Instant deadline;
-        std::uint32_t inUse; ///< calls that ran at the start, with it
-        std::uint32_t limit; ///< at the start
+        std::uint32_t concurrencyAtStart; ///< calls running at the start, including this one
+        std::uint32_t limitAtStart;
         std::uint32_t urgency;
     };
 
-    /// \returns whether the first call that waits must leave the free slots to nested calls to come.
-    bool isSetAside(Instant now) const;
-    void fill(Dispatch& out, Instant now);
-    /// \returns how long a call with \a ahead of slot time before it waits for the server's warm-up.
-    Duration coldWait(Duration ahead, Instant now) const;
-    void start(const QueuedCall& call, Dispatch& out, Instant now);
-    /// \brief Tells the limit what a call that ran to its end, or not, says of it.
-    void teachLimit(const Running& call, RunEnd end, Instant now);
-    void refuse(const QueuedCall& call, Reason reason, Dispatch& out, Instant now) const;
-    bool hasStood(const QueuedCall& call, Instant now);
-    Reason reasonToRefuse(const QueuedCall& call, std::uint32_t callClass, Duration wait, Instant now) const;
-    /// \returns whether a call of the class that comes to a free slot runs though it seems to have no chance,
-    /// as the only one of its class: if none did, nothing would show that the server is faster again.
-    bool isTrial(std::uint32_t callClass) const;
-    Reason reasonToDrop(const QueuedCall& call, Instant now);
-    /// \returns the slot time that a waiting call is likely to hold, as the server is now.
-    Duration costNow(const QueuedCall& call) const;
+    /// \returns whether the next waiting call must leave the free slots to nested calls that are expected.
+    bool isReservedForNestedCalls(Instant now) const;
+    void startWaitingCalls(AdmissionResult& out, Instant now);
+    /// \returns how long the warm-up pacing delays a call behind \a slotTimeAhead of other calls.
+    Duration warmUpWait(Duration slotTimeAhead, Instant now) const;
+    void startCall(const QueuedCall& call, AdmissionResult& out, Instant now);
+    /// \brief Passes a run that was answered or timed out to the concurrency limit as a sample.
+    void addLimitSample(const RunningCall& call, RunOutcome outcome, Instant now);
+    void addRefusal(const QueuedCall& call, Reason reason, AdmissionResult& out, Instant now) const;
+    bool exceedsSojournTarget(const QueuedCall& call, Instant now);
+    Reason refusalReasonOnArrival(
+        const QueuedCall& call, std::uint32_t callClass, Duration wait, Instant now) const;
+    /// \returns whether a call of the class may take a free slot although it is expected to miss its
+    /// deadline: true if no other call of the class runs. Without such a trial no sample would show that the
+    /// server has become fast again.
+    bool mayRunAsTrial(std::uint32_t callClass) const;
+    Reason refusalReasonAtStart(const QueuedCall& call, Instant now);
+    /// \returns the expected slot time of a waiting call at the server's current speed.
+    Duration currentExpectedSlotTime(const QueuedCall& call) const;
 
     Options m_options;
-    ConcurrencyLimit m_limit;
+    ConcurrencyLimit m_concurrencyLimit;
     WorkClock m_workClock;
     WarmUp m_warmUp;
     FairQueue m_queue;
-    ServiceEstimate m_service;
-    std::unordered_map<std::uint32_t, SojournControl> m_sojourn;
-    std::unordered_map<std::uint64_t, Running> m_running;
-    std::unordered_map<std::uint32_t, std::uint32_t> m_runningOf; ///< by class
-    struct Waiting {
+    SlotTimeEstimate m_slotTimeEstimate;
+    std::unordered_map<std::uint32_t, SojournControl> m_sojournControls; ///< by group
+    std::unordered_map<std::uint64_t, RunningCall> m_runningCalls; ///< by call id
+    std::unordered_map<std::uint32_t, std::uint32_t> m_runningCountByClass;
+    struct WaitingCall {
         std::uint32_t group;
         std::uint32_t callClass;
         std::uint32_t urgency;
     };
-    std::unordered_map<std::uint64_t, Waiting> m_waiting;
-    RoomForNested m_roomForNested;
-    std::uint32_t m_heldSlots = 0;
+    std::unordered_map<std::uint64_t, WaitingCall> m_waitingCalls; ///< by call id
+    NestedCallReservation m_nestedReservation;
+    std::uint32_t m_heldSlots = 0; ///< slots taken by holdSlot()
     bool m_isLeaving = false;
 };
 
--- a/src/Settings/NodeSettings.cpp
+++ b/src/Settings/NodeSettings.cpp
@@ -86,7 +86,7 @@
 
     void readChoice(YamlReader reader, NodeSettings& out)
     {
-        out.choice.kind = reader.choice("policy", ChoiceKind::ExpectedDelay);
+        out.choice.kind = reader.choice("policy", ChoicePolicyKind::ExpectedDelay);
         out.choice.subset = reader.count("subset", 1, 1000, 20);
         out.choice.hallRoundTrip = reader.duration("hall_round_trip", 0us, 1s, 2ms);
         out.choice.regionRoundTrip = reader.duration("region_round_trip", 0us, 1s, 60ms);
@@ -97,9 +97,9 @@
 
     void readAdmission(YamlReader reader, NodeSettings& out)
     {
-        out.admission.limit = reader.choice("limit", LimitKind::Learnt);
+        out.admission.limit = reader.choice("limit", ConcurrencyLimitKind::Learnt);
         out.admission.usableShare = reader.number("usable_share", 0.1, 1, 1);
-        out.admission.coldPace = reader.choice("cold_pace", ColdPaceKind::Smooth);
+        out.admission.coldPace = reader.choice("cold_pace", WarmUpPacerKind::Smooth);
         out.admission.coldFactor = reader.number("cold_factor", 0.1, 10, 1);
         out.admission.coldBurst = reader.number("cold_burst", 0, 1e6, 0);
         reader.finish();
