--- a/test/LogTest.cpp
+++ b/test/LogTest.cpp
@@ -208,7 +208,7 @@
     LogPipe pipe;
     RequestTrail trail;
     trail.add({ RequestEvent::RequestRefused, monotonicNow(), {}, 0, Reason::BackendRefused, {}, {},
-        RetryDenial::OwnBudget });
+        RetryDenial::OwnBudgetEmpty });
     trail.setNotable();
     trail.write("refused", "", 1, monotonicNow());
     const auto text = pipe.read();
