--- a/src/Mesh/CrashRecords.cpp
+++ b/src/Mesh/CrashRecords.cpp
@@ -54,14 +54,14 @@
     keepLast(known, maxAcquittals);
 }
 
-bool mergeIntoLedger(const proto::NodeRecord& record, CrashTracker& ledger, Instant now)
+bool mergeIntoTracker(const proto::NodeRecord& record, CrashTracker& tracker, Instant now)
 {
-    bool isNews = false;
+    bool isChanged = false;
     for (const auto& it : record.crashes())
-        isNews = ledger.addReport(it, now) || isNews;
+        isChanged = tracker.addReport(it, now) || isChanged;
     for (const auto& it : record.acquittals())
-        isNews = ledger.applyAcquittal(it) || isNews;
-    return isNews;
+        isChanged = tracker.applyAcquittal(it) || isChanged;
+    return isChanged;
 }
 
 std::string validationError(const proto::NodeRecord& record)
--- a/src/Mesh/CrashRecords.h
+++ b/src/Mesh/CrashRecords.h
@@ -30,9 +30,9 @@
 /// one. The oldest entries beyond the limits are removed.
 void add(proto::NodeRecord& record, const proto::CrashAcquittal& acquittal);
 
-/// \brief Adds all reports and acquittals of \a record to \a ledger.
+/// \brief Adds all reports and acquittals of \a record to \a tracker.
 /// \returns whether any of them was new.
-bool mergeIntoLedger(const proto::NodeRecord& record, CrashTracker& ledger, Instant now);
+bool mergeIntoTracker(const proto::NodeRecord& record, CrashTracker& tracker, Instant now);
 
 /// \returns why the reports and acquittals of \a record cannot have been written by a node, with the name of
 /// the field; "" if they are valid.
--- a/src/Mesh/MeshNodePeers.cpp
+++ b/src/Mesh/MeshNodePeers.cpp
@@ -230,7 +230,7 @@
         noteForeign("node-record", record.node(), fault);
         return false;
     }
-    m_isCrashNews = crashRecords::mergeIntoLedger(record, m_context.crashes, now) || m_isCrashNews;
+    m_isCrashNews = crashRecords::mergeIntoTracker(record, m_context.crashes, now) || m_isCrashNews;
     if (record.node() == m_context.settings.name)
         return takeOwnRecord(record, now);
     const bool isNew = isNewLife(record.node(), record.incarnation());
